--- a/crates/apricotwell_adapters/src/engine.rs
+++ b/crates/apricotwell_adapters/src/engine.rs
@@ -129,8 +129,8 @@
             replica: order.replica,
             model: order.model.to_string(),
             version: order.version.clone(),
-            memory_mib: order.memory,
-            number: order.number,
+            memory_mib: order.memory_mib,
+            number: order.fencing_token,
             incarnation: order.incarnation,
         };
         let order = self.try_order(address, &body);
@@ -157,7 +157,7 @@
             incarnation: body.incarnation,
             replicas: body.replicas.into_iter().map(replica).collect(),
             requests: body.requests,
-            lag: Duration::from_millis(body.lag_ms),
+            load_age: Duration::from_millis(body.lag_ms),
             leaving: body.leaving,
             cached: body
                 .cached
--- a/crates/apricotwell_adapters/tests/contracts.rs
+++ b/crates/apricotwell_adapters/tests/contracts.rs
@@ -131,14 +131,14 @@
     );
 }
 
-fn order(kind: OrderKind, replica: u64, number: u64, incarnation: u64) -> EngineOrder {
+fn order(kind: OrderKind, replica: u64, fencing_token: u64, incarnation: u64) -> EngineOrder {
     EngineOrder {
         kind,
         replica,
         model: "m".into(),
         version: "1".to_owned(),
-        memory: 100,
-        number,
+        memory_mib: 100,
+        fencing_token,
         incarnation,
     }
 }
--- a/crates/apricotwell_entry/src/api/callers.rs
+++ b/crates/apricotwell_entry/src/api/callers.rs
@@ -102,16 +102,16 @@
     let terms = guard::terms(shell, request, &holder.org, class, deadline)?;
     let prefix = prefix_key(&callable.model, &completion.prompt_head);
     let submission = Submission {
-        body: BodyDigest::of_body(&holder.org, &body),
+        body_digest: BodyDigest::of_body(&holder.org, &body),
         org: holder.org,
-        key: Some(digest),
+        api_key: Some(digest),
         target: Target::Model(callable),
         class: terms.class,
         deadline: terms.deadline,
-        prompt: completion.prompt,
+        prompt_tokens: completion.prompt,
         max_output: completion.max_output,
         prefix: Some(prefix),
-        claim: terms.claim,
+        idempotency_key: terms.claim,
     };
     let outgoing = Outgoing {
         method: request.method().clone(),
@@ -150,19 +150,19 @@
     }
     let path = request.uri().path_and_query();
     let submission = Submission {
-        body: BodyDigest::of_body(&org, &body),
+        body_digest: BodyDigest::of_body(&org, &body),
         org,
-        key: caller.map(|caller| caller.digest),
+        api_key: caller.map(|caller| caller.digest),
         target: Target::Service {
             route: name,
             pool: route.pool,
         },
         class,
         deadline: terms.deadline,
-        prompt: route.cost,
+        prompt_tokens: route.cost,
         max_output: 0,
         prefix: None,
-        claim: terms.claim,
+        idempotency_key: terms.claim,
     };
     let outgoing = Outgoing {
         method: request.method().clone(),
--- a/crates/apricotwell_entry/src/api/look_up.rs
+++ b/crates/apricotwell_entry/src/api/look_up.rs
@@ -30,7 +30,7 @@
     } else {
         query.zone.clone()
     };
-    let ids = shell.look(|node, now| node.addresses(now, &zone, &affinity));
+    let ids = shell.look(|node, now| node.ranked_instances(now, &zone, &affinity));
     let addresses = ids.iter().filter_map(|id| shell.caller_address(id));
     HttpResponse::Ok().json(LookUpReply {
         addresses: addresses.collect(),
--- a/crates/apricotwell_entry/src/relay.rs
+++ b/crates/apricotwell_entry/src/relay.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use tokio::time::timeout;
 
-use apricotwell_node::{AttemptEnd, Dispatch, Kept};
+use apricotwell_node::{AttemptOutcome, Dispatch, StoredAnswer};
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
 
 use crate::Shell;
@@ -135,7 +135,7 @@
     clients: &Clients,
     dispatch: &Dispatch,
     outgoing: &Outgoing,
-) -> Result<HttpResponse, AttemptEnd> {
+) -> Result<HttpResponse, AttemptOutcome> {
     let response = send(shell, clients, dispatch, outgoing).await?;
     check_attempt(&response, &dispatch.attempt)?;
     check_status(&response, outgoing.pass_errors)?;
@@ -168,7 +168,7 @@
     clients: &Clients,
     dispatch: &Dispatch,
     outgoing: &Outgoing,
-) -> Result<ClientResponse, AttemptEnd> {
+) -> Result<ClientResponse, AttemptOutcome> {
     let client = if outgoing.repeatable {
         &clients.repeatable
     } else {
@@ -191,30 +191,30 @@
     match timeout(limit, request.send_body(outgoing.body.clone())).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) if apricotwell_adapters::is_unsent(&error) => {
-            Err(AttemptEnd::NotRun { unreachable: true })
+            Err(AttemptOutcome::NotRun { unreachable: true })
         }
-        Ok(Err(_)) => Err(AttemptEnd::Broken { partial: false }),
-        Err(_) => Err(AttemptEnd::Silent { partial: false }),
+        Ok(Err(_)) => Err(AttemptOutcome::Disconnected { partial: false }),
+        Err(_) => Err(AttemptOutcome::Stalled { partial: false }),
     }
 }
 
 // An answer to another attempt must not reach this caller; its connection is closed.
-fn check_attempt(response: &ClientResponse, attempt: &str) -> Result<(), AttemptEnd> {
+fn check_attempt(response: &ClientResponse, attempt: &str) -> Result<(), AttemptOutcome> {
     match header(response.headers(), "x-attempt-id") {
         Some(named) if !named.is_empty() && named != attempt => {
-            Err(AttemptEnd::Broken { partial: false })
+            Err(AttemptOutcome::Disconnected { partial: false })
         }
         _ => Ok(()),
     }
 }
 
-fn check_status(response: &ClientResponse, pass_errors: bool) -> Result<(), AttemptEnd> {
+fn check_status(response: &ClientResponse, pass_errors: bool) -> Result<(), AttemptOutcome> {
     let outcome = header(response.headers(), "x-outcome");
     if outcome.as_deref() == Some(Ending::NotRun.as_str()) {
-        return Err(AttemptEnd::NotRun { unreachable: true });
+        return Err(AttemptOutcome::NotRun { unreachable: true });
     }
     if response.status().is_server_error() && !pass_errors {
-        return Err(AttemptEnd::Failed);
+        return Err(AttemptOutcome::Failed);
     }
     Ok(())
 }
@@ -226,13 +226,13 @@
     mut response: ClientResponse,
     media: String,
     limit: usize,
-) -> Result<HttpResponse, AttemptEnd> {
+) -> Result<HttpResponse, AttemptOutcome> {
     let progress = Duration::from_millis(shell.settings().requests.progress_ms);
     let read = response.body().limit(limit);
     let body = match timeout(progress, read).await {
         Ok(Ok(body)) => body,
-        Ok(Err(_)) => return Err(AttemptEnd::Broken { partial: false }),
-        Err(_) => return Err(AttemptEnd::Silent { partial: false }),
+        Ok(Err(_)) => return Err(AttemptOutcome::Disconnected { partial: false }),
+        Err(_) => return Err(AttemptOutcome::Stalled { partial: false }),
     };
     let status = response.status();
     let mut builder = HttpResponse::build(status);
@@ -242,14 +242,14 @@
     } else {
         Some(0)
     };
-    let kept = (body.len() <= shell.settings().requests.max_kept_bytes).then(|| body.to_vec());
-    let kept = Kept {
+    let stored = (body.len() <= shell.settings().requests.max_kept_bytes).then(|| body.to_vec());
+    let answer = StoredAnswer {
         status: status.as_u16(),
-        media,
-        body: kept,
+        content_type: media,
+        body: stored,
     };
     shell.metrics().note_answer(0);
-    let end = AttemptEnd::Answered { kept, used };
+    let end = AttemptOutcome::Answered { answer, used };
     shell.attempt_ended(dispatch.request, &dispatch.attempt, end);
     Ok(builder.body(body))
 }
--- a/crates/apricotwell_entry/src/settings.rs
+++ b/crates/apricotwell_entry/src/settings.rs
@@ -325,7 +325,7 @@
         NodeSettings {
             id: self.instance.id.as_str().into(),
             zone: self.instance.zone.as_str().into(),
-            caller_address: self.instance.caller_address.clone(),
+            client_address: self.instance.caller_address.clone(),
             peer_address: self.instance.peer_address.clone(),
             incarnation,
             genesis: Genesis {
@@ -339,15 +339,15 @@
                 ..Timing::default()
             },
             seed: incarnation,
-            window: Duration::from_millis(times.window_ms),
+            evidence_window: Duration::from_millis(times.window_ms),
             key_grace: Duration::from_millis(times.key_grace_ms),
             token_term: Duration::from_millis(times.token_term_ms),
             token_wait: Duration::from_millis(self.requests.token_wait_ms),
             claim_wait: Duration::from_millis(self.requests.claim_wait_ms),
             max_waiting: self.callers.max_waiting,
             max_attempts: self.requests.max_attempts,
-            max_kept: self.requests.max_kept_bytes,
-            claim_memory: Duration::from_secs(self.requests.claim_memory_s),
+            max_stored_answer: self.requests.max_kept_bytes,
+            claim_retention: Duration::from_secs(self.requests.claim_memory_s),
             report_period: Duration::from_millis(times.report_period_ms),
             server_timeout: Duration::from_millis(times.server_timeout_ms),
             load_timeout: Duration::from_millis(times.load_timeout_ms),
--- a/crates/apricotwell_entry/src/shell.rs
+++ b/crates/apricotwell_entry/src/shell.rs
@@ -8,7 +8,7 @@
 
 use apricotwell_claims::Answer;
 use apricotwell_logging::EventFile;
-use apricotwell_node::{Action, AttemptEnd, Dispatch, Node, Submission};
+use apricotwell_node::{Action, AttemptOutcome, Dispatch, Node, Submission};
 use apricotwell_timeline::Event;
 use apricotwell_types::{InstanceId, Map, Refusal, RequestId};
 
@@ -109,8 +109,11 @@
     }
 
     /// Tells how an attempt ended; the request's next turn follows unless it was answered.
-    pub(crate) fn attempt_ended(&self, id: RequestId, attempt: &str, end: AttemptEnd) {
-        let is_last = matches!(end, AttemptEnd::Answered { .. } | AttemptEnd::CallerGone);
+    pub(crate) fn attempt_ended(&self, id: RequestId, attempt: &str, end: AttemptOutcome) {
+        let is_last = matches!(
+            end,
+            AttemptOutcome::Answered { .. } | AttemptOutcome::ClientGone
+        );
         self.tell(|node, now| node.on_attempt_ended(now, id, attempt, end));
         if is_last {
             self.forget(id);
@@ -127,7 +130,7 @@
     /// Ends all requests at once with what is known of them.
     pub(crate) fn end_all(&self) {
         self.ending.store(true, Ordering::Relaxed);
-        self.tell(|node, now| node.end_all(now));
+        self.tell(|node, now| node.abort_requests(now));
     }
 
     /// Returns whether open streams are to be ended.
--- a/crates/apricotwell_entry/src/streams.rs
+++ b/crates/apricotwell_entry/src/streams.rs
@@ -13,7 +13,7 @@
 use futures_util::Stream;
 use tokio::time::{Sleep, sleep};
 
-use apricotwell_node::{AttemptEnd, Kept};
+use apricotwell_node::{AttemptOutcome, StoredAnswer};
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
 
 use crate::Shell;
@@ -113,7 +113,7 @@
 }
 
 impl Inner {
-    fn end(&self, end: AttemptEnd) {
+    fn end(&self, end: AttemptOutcome) {
         self.payload.borrow_mut().take();
         if !self.ended.replace(true) {
             let context = &self.context;
@@ -173,24 +173,24 @@
     fn finish(&mut self) -> Poll<Option<io::Result<Bytes>>> {
         let context = &self.inner.context;
         if context.is_events && !self.scanner.is_done() {
-            return self.fail(AttemptEnd::Broken { partial: true });
+            return self.fail(AttemptOutcome::Disconnected { partial: true });
         }
         let used = context
             .is_events
             .then(|| self.scanner.tokens(context.prompt));
-        let kept = Kept {
+        let answer = StoredAnswer {
             status: context.status,
-            media: context.media.clone(),
+            content_type: context.media.clone(),
             body: self.kept.take(),
         };
         context.shell.metrics().note_answer(self.scanner.events);
-        self.inner.end(AttemptEnd::Answered { kept, used });
+        self.inner.end(AttemptOutcome::Answered { answer, used });
         Poll::Ready(None)
     }
 
     // Tells the caller in the stream that it is not whole, then breaks the connection.
-    fn fail(&mut self, end: AttemptEnd) -> Poll<Option<io::Result<Bytes>>> {
-        let silent = matches!(end, AttemptEnd::Silent { .. });
+    fn fail(&mut self, end: AttemptOutcome) -> Poll<Option<io::Result<Bytes>>> {
+        let silent = matches!(end, AttemptOutcome::Stalled { .. });
         self.inner.end(end);
         if !self.inner.context.is_events {
             return broken();
@@ -229,7 +229,7 @@
                 .map(|payload| Pin::new(payload).poll_next(cx))
         };
         let Some(polled) = polled else {
-            return this.fail(AttemptEnd::Silent { partial: true });
+            return this.fail(AttemptOutcome::Stalled { partial: true });
         };
         match polled {
             Poll::Ready(Some(Ok(chunk))) => {
@@ -237,7 +237,7 @@
                 inner.last_data.set(now);
                 this.pass(chunk)
             }
-            Poll::Ready(Some(Err(_))) => this.fail(AttemptEnd::Broken { partial: true }),
+            Poll::Ready(Some(Err(_))) => this.fail(AttemptOutcome::Disconnected { partial: true }),
             Poll::Ready(None) => this.finish(),
             Poll::Pending => {
                 inner.waiting.set(true);
@@ -250,7 +250,7 @@
 
 impl Drop for AnswerStream {
     fn drop(&mut self) {
-        self.inner.end(AttemptEnd::CallerGone);
+        self.inner.end(AttemptOutcome::ClientGone);
     }
 }
 
@@ -271,12 +271,12 @@
         }
         let waits_for_server = stream.waiting.get();
         if waits_for_server && now >= stream.last_data.get() + progress {
-            stream.end(AttemptEnd::Silent { partial: true });
+            stream.end(AttemptOutcome::Stalled { partial: true });
             if let Some(waker) = stream.waker.borrow_mut().take() {
                 waker.wake();
             }
         } else if !waits_for_server && now >= stream.last_poll.get() + stalled {
-            stream.end(AttemptEnd::CallerGone);
+            stream.end(AttemptOutcome::ClientGone);
         }
     }
 }
@@ -286,7 +286,7 @@
     let open: Vec<Rc<Inner>> =
         OPEN.with_borrow(|open| open.iter().filter_map(Weak::upgrade).collect());
     for stream in open {
-        stream.end(AttemptEnd::Broken { partial: true });
+        stream.end(AttemptOutcome::Disconnected { partial: true });
         if let Some(waker) = stream.waker.borrow_mut().take() {
             waker.wake();
         }
--- a/crates/apricotwell_fakes/src/engine.rs
+++ b/crates/apricotwell_fakes/src/engine.rs
@@ -114,7 +114,7 @@
         }
         let held = Held {
             model: order.model.clone(),
-            memory: order.memory,
+            memory: order.memory_mib,
             loaded: false,
             running: 0,
         };
@@ -211,10 +211,10 @@
             return Err(Refused::OtherIncarnation);
         }
         let highest = self.highest.entry(model.clone()).or_default();
-        if order.number < *highest {
+        if order.fencing_token < *highest {
             return Err(Refused::OldNumber);
         }
-        *highest = order.number;
+        *highest = order.fencing_token;
         Ok(())
     }
 }
--- a/crates/apricotwell_fakes/src/world.rs
+++ b/crates/apricotwell_fakes/src/world.rs
@@ -13,8 +13,8 @@
 use apricotwell_membership::Contact;
 use apricotwell_messages::Envelope;
 use apricotwell_node::{
-    Action, AttemptEnd, Dispatch, EngineOrder, Kept, ListedServer, Node, NodeSettings, OrderKind,
-    OrderOutcome, ServerReport, Submission, Target,
+    Action, AttemptOutcome, Dispatch, EngineOrder, ListedServer, Node, NodeSettings, OrderKind,
+    OrderOutcome, ServerReport, StoredAnswer, Submission, Target,
 };
 use apricotwell_records::{
     AppendError, Body, CHECKPOINT_STREAM, CONTROL_STREAM, LogBatch, OperatorKey, Put, ReadError,
@@ -159,7 +159,7 @@
     SendOrder(u64, ServerId, EngineOrder, Instant),
     OrderEnded(u64, OrderOutcome),
     Report(ServerId, Option<ServerReport>),
-    AttemptEnded(RequestId, String, AttemptEnd),
+    AttemptEnded(RequestId, String, AttemptOutcome),
     List,
 }
 
@@ -352,7 +352,7 @@
 
     /// Returns the instances that would act on a shard right now.
     pub fn holders(&self, shard: u32) -> Vec<String> {
-        let held = |host: &&Host| !host.paused && host.node.may_act(self.now, shard);
+        let held = |host: &&Host| !host.paused && host.node.holds_shard(self.now, shard);
         let hosts = self.hosts.iter();
         hosts
             .filter(|(_, host)| held(host))
--- a/crates/apricotwell_fakes/src/world/script.rs
+++ b/crates/apricotwell_fakes/src/world/script.rs
@@ -129,17 +129,17 @@
             None => Target::Model(node.resolve(&holder.org, &call.target)?),
         };
         Ok(Submission {
-            body: BodyDigest::of_body(&holder.org, call.body.as_bytes()),
-            claim: call
+            body_digest: BodyDigest::of_body(&holder.org, call.body.as_bytes()),
+            idempotency_key: call
                 .key
                 .as_ref()
                 .map(|key| BodyDigest::of_body(&holder.org, key.as_bytes())),
             org: holder.org,
-            key: Some(digest),
+            api_key: Some(digest),
             target,
             class: call.class,
             deadline: self.now + call.patience,
-            prompt: 0,
+            prompt_tokens: 0,
             max_output: call.reserved,
             prefix: None,
         })
--- a/crates/apricotwell_fakes/src/world/steps.rs
+++ b/crates/apricotwell_fakes/src/world/steps.rs
@@ -333,7 +333,7 @@
             incarnation: engine.state.incarnation(),
             replicas: engine.state.replicas(),
             requests: engine.state.running(),
-            lag: Duration::ZERO,
+            load_age: Duration::ZERO,
             leaving: engine.leaving,
             cached: Vec::new(),
         })
@@ -347,21 +347,21 @@
         let call = self.calls[&number].clone();
         let end = self.run_call(number, &call, dispatch);
         let pause = match end {
-            AttemptEnd::Answered { .. } => self.options.run,
+            AttemptOutcome::Answered { .. } => self.options.run,
             _ => Duration::ZERO,
         };
         let step = Step::AttemptEnded(dispatch.request, dispatch.attempt.clone(), end);
         self.after(delay * 2 + pause, name, step);
     }
 
-    fn run_call(&mut self, number: u64, call: &Call, dispatch: &Dispatch) -> AttemptEnd {
+    fn run_call(&mut self, number: u64, call: &Call, dispatch: &Dispatch) -> AttemptOutcome {
         if let Some(replica) = dispatch.replica {
             let engine = self.engines.get(&*dispatch.server);
             let Some(engine) = engine.filter(|engine| engine.answers()) else {
-                return AttemptEnd::NotRun { unreachable: true };
+                return AttemptOutcome::NotRun { unreachable: true };
             };
             if !engine.state.is_loaded(replica) {
-                return AttemptEnd::NotRun { unreachable: true };
+                return AttemptOutcome::NotRun { unreachable: true };
             }
         }
         *self.audit.call_runs.entry(number).or_default() += 1;
@@ -381,23 +381,23 @@
         let crashes = call.body.contains("crash") && dispatch.replica.is_some();
         if crashes {
             self.kill_engine(&dispatch.server);
-            return AttemptEnd::Broken { partial: false };
+            return AttemptOutcome::Disconnected { partial: false };
         }
         if call.body.contains("lost answer") {
-            return AttemptEnd::Broken { partial: false };
+            return AttemptOutcome::Disconnected { partial: false };
         }
-        AttemptEnd::Answered {
-            kept: Kept {
+        AttemptOutcome::Answered {
+            answer: StoredAnswer {
                 status: 200,
-                media: "text/plain".to_owned(),
+                content_type: "text/plain".to_owned(),
                 body: Some(b"done".to_vec()),
             },
             used: Some(call.used),
         }
     }
 
-    fn note_answer(&mut self, name: &str, request: RequestId, end: &AttemptEnd) {
-        if matches!(end, AttemptEnd::Answered { .. }) {
+    fn note_answer(&mut self, name: &str, request: RequestId, end: &AttemptOutcome) {
+        if matches!(end, AttemptOutcome::Answered { .. }) {
             self.end_call(name, request, Finish::Answered);
         }
     }
--- a/crates/apricotwell_node/src/action.rs
+++ b/crates/apricotwell_node/src/action.rs
@@ -114,10 +114,10 @@
     /// Version of the weights.
     pub version: String,
     /// Memory in MiB that the replica takes.
-    pub memory: u64,
+    pub memory_mib: u64,
     /// Fencing number of the order; an engine that checks refuses a lower one than it has seen
     /// for the same model.
-    pub number: u64,
+    pub fencing_token: u64,
     /// Start number of the server that the order is meant for.
     pub incarnation: Incarnation,
 }
--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -59,9 +59,9 @@
         Self {
             me: settings.id.clone(),
             incarnation: settings.incarnation,
-            window: settings.window,
+            window: settings.evidence_window,
             membership,
-            freshness: Freshness::new(settings.window),
+            freshness: Freshness::new(settings.evidence_window),
             standings: Standings::new(settings.id.clone(), settings.incarnation),
             listed: vec![settings.id.clone()],
             leaving: false,
--- a/crates/apricotwell_node/src/lib.rs
+++ b/crates/apricotwell_node/src/lib.rs
@@ -34,7 +34,7 @@
 
 pub use action::{Action, Dispatch, EngineOrder, OrderKind, OrderOutcome};
 pub use node::Node;
-pub use requests::{AttemptEnd, Kept};
+pub use requests::{AttemptOutcome, StoredAnswer};
 pub use server_desk::{ListedServer, ReportedReplica, ServerReport};
 pub use settings::NodeSettings;
 pub use status::{InstanceStatus, LeaseStatus, ModelStatus, ReplicaStatus, ServerStatus, Status};
@@ -43,7 +43,7 @@
 /// What nearly every user of the crate needs.
 pub mod prelude {
     pub use crate::{
-        Action, AttemptEnd, Dispatch, EngineOrder, Kept, ListedServer, Node, NodeSettings,
-        OrderKind, OrderOutcome, ReportedReplica, ServerReport, Submission, Target,
+        Action, AttemptOutcome, Dispatch, EngineOrder, ListedServer, Node, NodeSettings, OrderKind,
+        OrderOutcome, ReportedReplica, ServerReport, StoredAnswer, Submission, Target,
     };
 }
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -175,7 +175,7 @@
     }
 
     /// Returns whether this instance may act on a duty shard right now.
-    pub fn may_act(&self, now: Instant, shard: Shard) -> bool {
+    pub fn holds_shard(&self, now: Instant, shard: Shard) -> bool {
         self.fleet.fence(now, shard).is_some()
     }
 
@@ -345,7 +345,7 @@
     ///
     /// The order is stable for one organisation and model, so that their traffic meets few
     /// instances.
-    pub fn addresses(&self, now: Instant, zone: &str, affinity: &str) -> Vec<InstanceId> {
+    pub fn ranked_instances(&self, now: Instant, zone: &str, affinity: &str) -> Vec<InstanceId> {
         let item = u64::from(shard_of(affinity, Shard::MAX));
         let mut open = self.fleet.open_members();
         if !self.is_ready(now) {
--- a/crates/apricotwell_node/src/node/claiming.rs
+++ b/crates/apricotwell_node/src/node/claiming.rs
@@ -17,7 +17,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let Some(key) = request.submission.claim else {
+        let Some(key) = request.submission.idempotency_key else {
             return;
         };
         let Some(shard) = self.claim_shard(&key.0) else {
@@ -25,7 +25,7 @@
         };
         let give_up = now + self.settings.claim_wait;
         let give_up = give_up.min(request.submission.deadline);
-        let (body, attempt) = (request.submission.body, request.attempt.clone());
+        let (body, attempt) = (request.submission.body_digest, request.attempt.clone());
         self.claims.ask(id, shard, key, body, &attempt, give_up);
         self.run_claims(now);
     }
@@ -114,7 +114,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let Some(key) = request.submission.claim else {
+        let Some(key) = request.submission.idempotency_key else {
             return;
         };
         let attempt = request.attempt.clone();
--- a/crates/apricotwell_node/src/node/duties.rs
+++ b/crates/apricotwell_node/src/node/duties.rs
@@ -26,7 +26,7 @@
         if let Some(report) = &report {
             let load = apricotwell_routing::LoadReport {
                 requests: report.requests,
-                measured: now.checked_sub(report.lag).unwrap_or(now),
+                measured: now.checked_sub(report.load_age).unwrap_or(now),
             };
             self.router.note_report(server, load);
         }
@@ -262,7 +262,7 @@
                 .with_server(server.to_string())
                 .with_model(order.model.to_string())
                 .with_replica(order.replica)
-                .with_detail(format!("{:?} number {}", order.kind, order.number));
+                .with_detail(format!("{:?} number {}", order.kind, order.fencing_token));
             self.event(now, event);
         }
     }
--- a/crates/apricotwell_node/src/node/ending.rs
+++ b/crates/apricotwell_node/src/node/ending.rs
@@ -9,7 +9,7 @@
 use super::Node;
 use super::serving::BUSY_RETRY;
 use crate::requests::{Request, Stage};
-use crate::{Action, AttemptEnd, Target};
+use crate::{Action, AttemptOutcome, Target};
 
 /// Time in which a poll must tell whether a server crashed.
 const CRASH_CHECK: Duration = Duration::from_millis(1500);
@@ -20,19 +20,19 @@
         now: Instant,
         id: RequestId,
         server: &ServerId,
-        end: &AttemptEnd,
+        end: &AttemptOutcome,
     ) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let body = request.submission.body;
+        let body = request.submission.body_digest;
         let class = request.submission.class;
         let attempts = request.attempts;
         let key = (
             request.submission.org.clone(),
             request.submission.queue_name(),
         );
-        let broken = matches!(end, AttemptEnd::Broken { .. });
+        let broken = matches!(end, AttemptOutcome::Disconnected { .. });
         let is_engine = matches!(request.submission.target, Target::Model(_));
         if broken && is_engine {
             let incarnation = self.state.ledger().server(server);
@@ -63,11 +63,11 @@
         }
     }
 
-    pub(super) fn end_failed(&mut self, now: Instant, id: RequestId, end: &AttemptEnd) {
+    pub(super) fn end_failed(&mut self, now: Instant, id: RequestId, end: &AttemptOutcome) {
         let ending = end.ending().unwrap_or(Ending::OutcomeUnknown);
         let message = match end {
-            AttemptEnd::Failed => "the backend server ran the request and failed",
-            AttemptEnd::Silent { .. } => "the backend server made no progress in time",
+            AttemptOutcome::Failed => "the backend server ran the request and failed",
+            AttemptOutcome::Stalled { .. } => "the backend server made no progress in time",
             _ => "the connection to the backend server broke while it ran the request",
         };
         let refusal = Refusal::not_run(RefusalKind::BackendFailed, message).with_ending(ending);
--- a/crates/apricotwell_node/src/node/peers.rs
+++ b/crates/apricotwell_node/src/node/peers.rs
@@ -190,7 +190,7 @@
     // Serves claims as holder and as asker.
     pub(super) fn run_claims(&mut self, now: Instant) {
         let wall = self.wall(now);
-        let memory = self.settings.claim_memory;
+        let memory = self.settings.claim_retention;
         let fleet = &self.fleet;
         self.claim_holder.retain(|shard| fleet.fence(now, shard));
         let is_gone = |attempt: &str| fleet.is_gone(attempt);
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -18,7 +18,7 @@
 use crate::requests::{Stage, recorded_answer};
 use crate::submission::service_pool;
 use crate::token_desk::{HolderRef, Reservation};
-use crate::{Action, AttemptEnd, Dispatch, Submission, Target};
+use crate::{Action, AttemptOutcome, Dispatch, Submission, Target};
 
 /// Pause told to callers whose request found no room.
 pub(super) const BUSY_RETRY: Duration = Duration::from_secs(1);
@@ -92,7 +92,7 @@
         };
         if matches!(request.stage, Stage::Running { .. }) {
             let attempt = request.attempt.clone();
-            self.on_attempt_ended(now, id, &attempt, AttemptEnd::CallerGone);
+            self.on_attempt_ended(now, id, &attempt, AttemptOutcome::ClientGone);
             return;
         }
         self.drop_request(now, id, 0, Some(Ending::NotRun));
@@ -106,7 +106,7 @@
         now: Instant,
         id: RequestId,
         attempt: &str,
-        end: AttemptEnd,
+        end: AttemptOutcome,
     ) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -119,11 +119,13 @@
         }
         self.note_attempt_end(now, id, &server, &end);
         match end {
-            AttemptEnd::Answered { kept, used } => self.finish_answered(now, id, kept, used),
-            AttemptEnd::CallerGone => {
+            AttemptOutcome::Answered { answer, used } => {
+                self.finish_answered(now, id, answer, used)
+            }
+            AttemptOutcome::ClientGone => {
                 self.drop_request(now, id, u64::MAX, Some(Ending::OutcomeUnknown));
             }
-            AttemptEnd::NotRun { .. } => self.try_again(now, id),
+            AttemptOutcome::NotRun { .. } => self.try_again(now, id),
             _ => self.after_failure(now, id, &server, &end),
         }
         self.pump(now);
@@ -131,7 +133,7 @@
     }
 
     /// Ends every request at once with what is known of it.
-    pub fn end_all(&mut self, now: Instant) {
+    pub fn abort_requests(&mut self, now: Instant) {
         let open: Vec<(RequestId, bool)> = self
             .requests
             .iter()
@@ -164,12 +166,12 @@
         now: Instant,
         submission: &Submission,
     ) -> Result<(), Refusal> {
-        if self.state.is_quarantined(submission.body) {
+        if self.state.is_quarantined(submission.body_digest) {
             let message = "this body crashed backend servers and is quarantined; change it or ask \
                            your operator to release it";
             return Err(Refusal::not_run(RefusalKind::Quarantined, message));
         }
-        if submission.class == WorkClass::NonIdempotent && submission.claim.is_none() {
+        if submission.class == WorkClass::NonIdempotent && submission.idempotency_key.is_none() {
             let message = "a non-idempotent request needs an Idempotency-Key header";
             return Err(Refusal::not_run(RefusalKind::BadRequest, message));
         }
@@ -300,7 +302,7 @@
         let request = self.requests.get(entry.request)?;
         let prefix = request.submission.prefix;
         // A body that was running when a server crashed goes where it can do least harm.
-        let is_suspect = self.state.crashes(request.submission.body) > 0;
+        let is_suspect = self.state.crashes(request.submission.body_digest) > 0;
         let servers: Vec<Candidate> = candidates
             .iter()
             .map(|(candidate, _)| candidate.clone())
@@ -383,7 +385,10 @@
             self.refuse(now, id, refusal);
             return;
         }
-        let (prefix, claim) = (request.submission.prefix, request.submission.claim);
+        let (prefix, claim) = (
+            request.submission.prefix,
+            request.submission.idempotency_key,
+        );
         let needs_claim = claim.is_some() && !request.claimed;
         self.router.note_start(&server, prefix);
         let base = self.request_name(id);
@@ -404,13 +409,13 @@
     // Keys and quarantine may have changed while the request waited.
     pub(super) fn check_again(&self, submission: &Submission) -> Option<Refusal> {
         let withdrawn = submission
-            .key
+            .api_key
             .is_some_and(|key| self.state.key(&key).is_none());
         if withdrawn {
             let message = "the API key was withdrawn while the request waited";
             return Some(Refusal::not_run(RefusalKind::InvalidKey, message));
         }
-        if self.state.is_quarantined(submission.body) {
+        if self.state.is_quarantined(submission.body_digest) {
             let message = "this body crashed backend servers and is quarantined";
             return Some(Refusal::not_run(RefusalKind::Quarantined, message));
         }
@@ -489,14 +494,14 @@
         now: Instant,
         id: RequestId,
         server: &ServerId,
-        end: &AttemptEnd,
+        end: &AttemptOutcome,
     ) {
         let is_fine = matches!(
             end,
-            AttemptEnd::Answered { .. } | AttemptEnd::CallerGone | AttemptEnd::Failed
+            AttemptOutcome::Answered { .. } | AttemptOutcome::ClientGone | AttemptOutcome::Failed
         );
         self.router.note_end(now, server, is_fine);
-        if let AttemptEnd::NotRun { unreachable: true } = end {
+        if let AttemptOutcome::NotRun { unreachable: true } = end {
             self.servers.avoid(now, server);
         }
         let detail = match end.ending() {
@@ -514,7 +519,7 @@
         &mut self,
         now: Instant,
         id: RequestId,
-        kept: crate::Kept,
+        kept: crate::StoredAnswer,
         used: Option<u64>,
     ) {
         let Some(request) = self.requests.get(id) else {
--- a/crates/apricotwell_node/src/order_desk.rs
+++ b/crates/apricotwell_node/src/order_desk.rs
@@ -121,8 +121,8 @@
             replica,
             model: "".into(),
             version: String::new(),
-            memory: 0,
-            number: self.next_number(state),
+            memory_mib: 0,
+            fencing_token: self.next_number(state),
             incarnation,
         };
         let ticket = self.note_sent(now, key, term.fence, tickets);
@@ -302,8 +302,8 @@
             replica: id,
             model: replica.model.clone(),
             version: replica.version.clone(),
-            memory: replica.memory,
-            number: self.next_number(view.state),
+            memory_mib: replica.memory,
+            fencing_token: self.next_number(view.state),
             incarnation: server.incarnation,
         };
         let ticket = self.note_sent(view.now, (id, kind), term.fence, tickets);
--- a/crates/apricotwell_node/src/requests.rs
+++ b/crates/apricotwell_node/src/requests.rs
@@ -11,22 +11,22 @@
 
 /// Answer as far as it is kept for repeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
-    pub media: String,
+    pub content_type: String,
     /// Whole body, or `None` when it was larger than the limit.
     pub body: Option<Vec<u8>>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The caller got the whole answer.
     Answered {
         /// Answer, for repeats of a non-idempotent request.
-        kept: Kept,
+        answer: StoredAnswer,
         /// Tokens used, when the server told.
         used: Option<Tokens>,
     },
@@ -38,29 +38,29 @@
     /// The server ran the request and said that it failed.
     Failed,
     /// The connection broke, or the answer named another attempt.
-    Broken {
+    Disconnected {
         /// Whether the caller already has part of the answer.
         partial: bool,
     },
     /// The server made no progress in time.
-    Silent {
+    Stalled {
         /// Whether the caller already has part of the answer.
         partial: bool,
     },
     /// The caller went away.
-    CallerGone,
+    ClientGone,
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     /// Returns what is known of the run.
     pub(crate) fn ending(&self) -> Option<Ending> {
         match self {
-            AttemptEnd::Answered { .. } => None,
-            AttemptEnd::NotRun { .. } => Some(Ending::NotRun),
-            AttemptEnd::Failed => Some(Ending::FailedAfterRun),
-            AttemptEnd::Broken { .. } | AttemptEnd::Silent { .. } | AttemptEnd::CallerGone => {
-                Some(Ending::OutcomeUnknown)
-            }
+            AttemptOutcome::Answered { .. } => None,
+            AttemptOutcome::NotRun { .. } => Some(Ending::NotRun),
+            AttemptOutcome::Failed => Some(Ending::FailedAfterRun),
+            AttemptOutcome::Disconnected { .. }
+            | AttemptOutcome::Stalled { .. }
+            | AttemptOutcome::ClientGone => Some(Ending::OutcomeUnknown),
         }
     }
 
@@ -68,7 +68,8 @@
     pub(crate) fn is_partial(&self) -> bool {
         matches!(
             self,
-            AttemptEnd::Broken { partial: true } | AttemptEnd::Silent { partial: true }
+            AttemptOutcome::Disconnected { partial: true }
+                | AttemptOutcome::Stalled { partial: true }
         )
     }
 }
@@ -144,10 +145,10 @@
 }
 
 /// Returns a recorded answer as it is given to a repeat.
-pub(crate) fn recorded_answer(kept: Kept) -> Answer {
+pub(crate) fn recorded_answer(kept: StoredAnswer) -> Answer {
     Answer {
         status: kept.status,
-        media: kept.media,
+        media: kept.content_type,
         body: kept.body.unwrap_or_default(),
     }
 }
--- a/crates/apricotwell_node/src/server_desk.rs
+++ b/crates/apricotwell_node/src/server_desk.rs
@@ -45,7 +45,7 @@
     /// Requests running and waiting.
     pub requests: u32,
     /// Age of `requests`.
-    pub lag: Duration,
+    pub load_age: Duration,
     /// Whether it takes no new work.
     pub leaving: bool,
     /// Models whose weights it has in memory or on disk.
--- a/crates/apricotwell_node/src/settings.rs
+++ b/crates/apricotwell_node/src/settings.rs
@@ -14,7 +14,7 @@
     /// Its availability zone.
     pub zone: ZoneId,
     /// Address for callers as `ip:port`.
-    pub caller_address: String,
+    pub client_address: String,
     /// Address for peers as `ip:port`.
     pub peer_address: String,
     /// Start number of the process.
@@ -26,7 +26,7 @@
     /// Seed of the node's random choices.
     pub seed: u64,
     /// How long evidence on the log counts.
-    pub window: Duration,
+    pub evidence_window: Duration,
     /// How long keys are honoured while the log is out and not every member can be asked.
     pub key_grace: Duration,
     /// Term of token grants.
@@ -40,9 +40,9 @@
     /// Attempts per request.
     pub max_attempts: u32,
     /// Largest answer that is kept for repeats, in bytes.
-    pub max_kept: usize,
+    pub max_stored_answer: usize,
     /// How long claims are kept.
-    pub claim_memory: Duration,
+    pub claim_retention: Duration,
     /// Time between two reports from a server.
     pub report_period: Duration,
     /// Time without an answer after which a server counts as gone.
@@ -63,7 +63,7 @@
         Self {
             id: id.into(),
             zone: zone.into(),
-            caller_address: format!("{id}:80"),
+            client_address: format!("{id}:80"),
             peer_address: format!("{id}:81"),
             incarnation,
             genesis: Genesis {
@@ -72,15 +72,15 @@
             },
             timing: Timing::default(),
             seed: incarnation,
-            window: Duration::from_secs(3),
+            evidence_window: Duration::from_secs(3),
             key_grace: Duration::from_secs(30),
             token_term: Duration::from_secs(2),
             token_wait: Duration::from_secs(5),
             claim_wait: Duration::from_secs(3),
             max_waiting: 2000,
             max_attempts: 2,
-            max_kept: 64 * 1024,
-            claim_memory: Duration::from_secs(24 * 3600),
+            max_stored_answer: 64 * 1024,
+            claim_retention: Duration::from_secs(24 * 3600),
             report_period: Duration::from_secs(1),
             server_timeout: Duration::from_secs(10),
             load_timeout: Duration::from_secs(60),
--- a/crates/apricotwell_node/src/submission.rs
+++ b/crates/apricotwell_node/src/submission.rs
@@ -26,7 +26,7 @@
     /// Organisation; empty on an open route.
     pub org: OrgId,
     /// Key that came with the request; `None` on an open route.
-    pub key: Option<KeyDigest>,
+    pub api_key: Option<KeyDigest>,
     /// Target.
     pub target: Target,
     /// Class.
@@ -34,21 +34,21 @@
     /// When a server must have been given the request.
     pub deadline: Instant,
     /// Tokens of the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Tokens that the answer may have.
     pub max_output: Tokens,
     /// Digest of the organisation and the body.
-    pub body: BodyDigest,
+    pub body_digest: BodyDigest,
     /// Beginning of the prompt, for cache affinity.
     pub prefix: Option<PrefixKey>,
     /// Idempotency key as a digest with the organisation.
-    pub claim: Option<BodyDigest>,
+    pub idempotency_key: Option<BodyDigest>,
 }
 
 impl Submission {
     /// Returns the tokens to reserve.
     pub fn cost(&self) -> Tokens {
-        self.prompt.saturating_add(self.max_output)
+        self.prompt_tokens.saturating_add(self.max_output)
     }
 
     /// Returns the name under which the request waits.
--- a/crates/apricotwell_standins/src/engine.rs
+++ b/crates/apricotwell_standins/src/engine.rs
@@ -173,8 +173,8 @@
         replica: body.replica,
         model: body.model.into(),
         version: body.version,
-        memory: body.memory_mib,
-        number: body.number,
+        memory_mib: body.memory_mib,
+        fencing_token: body.number,
         incarnation: body.incarnation,
     })
 }
