--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -15,11 +15,11 @@
 /// Platform that instances run on.
 pub trait Platform: 'static {
     /// Requests of callers.
-    type Callers: Callers;
+    type ClientProtocol: ClientProtocol;
     /// Store.
     type Store: Store;
     /// Model engines.
-    type Engines: Engines;
+    type EngineClient: EngineClient;
 }
 
 /// Attempt of a request at one server.
@@ -39,19 +39,19 @@
 
 /// What the head of a server's answer says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Whether it answers the attempt that was sent.
-    pub matches: bool,
+    pub matches_attempt: bool,
     /// Whether the server states that it did not run the request.
     pub not_run: bool,
     /// Whether another server has the address or the wanted model isn't there.
     pub misdirected: bool,
     /// Whether it bears the mark of an answer that a server made.
-    pub genuine: bool,
+    pub is_sealed: bool,
 }
 
 /// Requests of callers and their forms at servers.
-pub trait Callers: 'static {
+pub trait ClientProtocol: 'static {
     /// Decodes the head of a request.
     ///
     /// # Errors
@@ -68,7 +68,7 @@
     ) -> Request<http_body_util::Full<Bytes>>;
 
     /// Reads the head of a server's answer to `call`.
-    fn decode_answer(head: &response::Parts, call: &Call) -> AnswerHead;
+    fn decode_response(head: &response::Parts, call: &Call) -> ResponseHead;
 
     /// Returns the headers of a server's answer that go on to the caller.
     fn relay_headers(headers: &HeaderMap) -> HeaderMap;
@@ -80,10 +80,10 @@
     fn is_readiness(head: &request::Parts) -> bool;
 
     /// Returns whether a request asks which addresses to use.
-    fn is_look_up(head: &request::Parts) -> bool;
+    fn is_lookup(head: &request::Parts) -> bool;
 
     /// Returns the answer that tells callers where to connect.
-    fn encode_look_up(addresses: &[String], lifetime: Duration) -> Response<Bytes>;
+    fn encode_lookup(addresses: &[String], lifetime: Duration) -> Response<Bytes>;
 }
 
 /// Why a call to the store gave nothing.
@@ -94,9 +94,9 @@
     /// No answer came: what was asked may have been done, or may be done later.
     Unknown(String),
     /// Records before this offset are gone.
-    Forgotten,
+    Truncated,
     /// The log ends elsewhere than the append expected.
-    Moved,
+    Conflict,
 }
 
 impl std::fmt::Display for StoreError {
@@ -106,8 +106,8 @@
             Self::Unknown(text) => {
                 write!(f, "no answer from the store: {text}; read before writing")
             }
-            Self::Forgotten => f.write_str("records were dropped; start from the newest ones"),
-            Self::Moved => f.write_str("the log has grown; read its end again"),
+            Self::Truncated => f.write_str("records were dropped; start from the newest ones"),
+            Self::Conflict => f.write_str("the log has grown; read its end again"),
         }
     }
 }
@@ -116,7 +116,7 @@
 
 /// News of a feed.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum FeedRecord {
     /// Configuration.
     Catalog(Box<Catalog>),
     /// Entry of the list of servers.
@@ -134,9 +134,9 @@
 
 /// Part of a feed.
 #[derive(Clone, Debug)]
-pub struct FeedPart {
+pub struct FeedPage {
     /// News, oldest first.
-    pub news: Vec<News>,
+    pub records: Vec<FeedRecord>,
     /// Offset from which to read on.
     pub next: Offset,
     /// Whether it reaches the end of the feed.
@@ -149,7 +149,7 @@
     /// Number that grows with each change of the group.
     pub generation: u64,
     /// Whether the placement lease falls to this member.
-    pub leads: bool,
+    pub is_candidate: bool,
 }
 
 /// Last claim of the placement lease.
@@ -171,7 +171,7 @@
 /// The platform's store.
 pub trait Store: 'static {
     /// Returns the newest records of a feed.
-    fn newest(&self, feed: Feed) -> impl Future<Output = Result<FeedPart, StoreError>>;
+    fn newest(&self, feed: Feed) -> impl Future<Output = Result<FeedPage, StoreError>>;
 
     /// Returns the records of a feed from an offset, after `wait` at most.
     fn read(
@@ -179,7 +179,7 @@
         feed: Feed,
         from: Offset,
         wait: Duration,
-    ) -> impl Future<Output = Result<FeedPart, StoreError>>;
+    ) -> impl Future<Output = Result<FeedPage, StoreError>>;
 
     /// Joins the fleet's group or stays in it.
     fn join(
@@ -190,10 +190,10 @@
     ) -> impl Future<Output = Result<Membership, StoreError>>;
 
     /// Keeps what the fleet spent, in place of what was kept before.
-    fn keep_spending(&self, spending: &[u8]) -> impl Future<Output = Result<(), StoreError>>;
+    fn save_usage(&self, spending: &[u8]) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Returns what was kept last, `None` if nothing was.
-    fn kept_spending(&self) -> impl Future<Output = Result<Option<Vec<u8>>, StoreError>>;
+    fn load_usage(&self) -> impl Future<Output = Result<Option<Vec<u8>>, StoreError>>;
 
     /// Leaves the group.
     fn leave(&self, member: &str) -> impl Future<Output = Result<(), StoreError>>;
@@ -213,7 +213,7 @@
 }
 
 /// Orders to model engines.
-pub trait Engines: 'static {
+pub trait EngineClient: 'static {
     /// Returns a server's report, `None` if it gave none.
     fn report(
         &self,
--- a/crates/apricotwell_gateway/src/daemon.rs
+++ b/crates/apricotwell_gateway/src/daemon.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::adapter::{Callers, Platform};
+use crate::adapter::{ClientProtocol, Platform};
 use crate::events::{Event, FLUSH_INTERVAL, LineWriter};
 use crate::gateway::Gateway;
 use crate::{feeds, fleet, front, heartbeats, placing, pool, spending};
@@ -53,11 +53,11 @@
 {
     let listeners = gateway.listeners.clone();
     let socket = Rc::new(UdpSocket::bind(&listeners.peers).await?);
-    let callers = listen(&listeners.callers)?;
+    let callers = listen(&listeners.clients)?;
     let readiness = listen(&listeners.readiness)?;
-    let look_up = listen(&listeners.look_up)?;
+    let look_up = listen(&listeners.lookup)?;
     Event::new("started")
-        .with("callers", listeners.callers.as_str())
+        .with("callers", listeners.clients.as_str())
         .with("peers", listeners.peers.as_str())
         .log();
     for feed in [Feed::Configuration, Feed::Servers] {
@@ -195,19 +195,20 @@
         *response.status_mut() = status;
         response
     };
-    if P::Callers::is_readiness(&head) {
+    if P::ClientProtocol::is_readiness(&head) {
         return empty(if dispatcher.is_ready(now) {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         });
     }
-    if P::Callers::is_look_up(&head) {
+    if P::ClientProtocol::is_lookup(&head) {
         let addresses = dispatcher.look_up(now);
         if addresses.is_empty() {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        return P::Callers::encode_look_up(&addresses, gateway.times.look_up).map(Full::new);
+        return P::ClientProtocol::encode_lookup(&addresses, gateway.times.lookup_ttl)
+            .map(Full::new);
     }
     if head.uri.path() == "/metrics" {
         return match gateway.metrics.to_text() {
--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -8,7 +8,7 @@
 use apricotwell_types::{InstanceId, Offset};
 use tokio::net::UdpSocket;
 
-use crate::adapter::{FeedPart, News, Platform, Store, StoreError};
+use crate::adapter::{FeedPage, FeedRecord, Platform, Store, StoreError};
 use crate::events::Event;
 use crate::gateway::Gateway;
 
@@ -108,11 +108,11 @@
             current,
         } = asked.await?;
         let news = changes.into_iter().map(|change| match change {
-            ListChange::Entry(entry) => News::Entry(entry),
-            ListChange::Removed(id) => News::Removed(id),
+            ListChange::Entry(entry) => FeedRecord::Entry(entry),
+            ListChange::Removed(id) => FeedRecord::Removed(id),
         });
-        let part = FeedPart {
-            news: news.collect(),
+        let part = FeedPage {
+            records: news.collect(),
             next,
             is_end: current.is_some(),
         };
@@ -147,7 +147,7 @@
                 // over.
                 let waited = self.gateway.now().saturating_duration_since(start);
                 let current = match self.next {
-                    Some(_) if part.news.is_empty() => start + wait.min(waited),
+                    Some(_) if part.records.is_empty() => start + wait.min(waited),
                     _ => start,
                 };
                 let current = part.is_end.then_some(current);
@@ -158,7 +158,7 @@
                     Duration::ZERO
                 }
             }
-            Err(StoreError::Forgotten) => {
+            Err(StoreError::Truncated) => {
                 self.next = None;
                 Duration::ZERO
             }
@@ -170,7 +170,7 @@
     }
 
     // Applies what came; nothing else had come at `current`, if that is known.
-    fn apply(&mut self, current: Option<Instant>, part: FeedPart) {
+    fn apply(&mut self, current: Option<Instant>, part: FeedPage) {
         let from = self.next;
         if from.is_none() && self.feed == Feed::Servers {
             self.remove_missing(&part);
@@ -181,13 +181,13 @@
                 .start_from(part.next);
         }
         self.next = Some(part.next);
-        let changed = !part.news.is_empty();
+        let changed = !part.records.is_empty();
         // Each record of the list is one piece of news, so that their offsets are known.
         let first = part
             .next
-            .saturating_sub(part.news.len() as u64)
+            .saturating_sub(part.records.len() as u64)
             .max(from.unwrap_or_default());
-        for (offset, news) in (first + 1..).zip(part.news) {
+        for (offset, news) in (first + 1..).zip(part.records) {
             self.apply_news(offset.min(part.next), news);
         }
         if changed {
@@ -215,11 +215,11 @@
     }
 
     // Applies one piece of news, after which the feed is known up to `offset`.
-    fn apply_news(&self, offset: Offset, news: News) {
+    fn apply_news(&self, offset: Offset, news: FeedRecord) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         match news {
-            News::Catalog(catalog) => {
+            FeedRecord::Catalog(catalog) => {
                 let version = catalog.version;
                 let applied = dispatcher.apply_catalog(*catalog);
                 Event::new("configuration")
@@ -227,7 +227,7 @@
                     .with("applied", applied)
                     .log();
             }
-            News::Entry(entry) => {
+            FeedRecord::Entry(entry) => {
                 log_entry(&dispatcher.backends, &entry);
                 if dispatcher.backends.is_news(&entry) {
                     let change = ListChange::Entry(entry.clone());
@@ -235,7 +235,7 @@
                 }
                 dispatcher.backends.note_entry(now, entry);
             }
-            News::Removed(id) => {
+            FeedRecord::Removed(id) => {
                 let keep = self.keep_time(now);
                 Event::new("server_removed")
                     .with("server", &*id)
@@ -246,22 +246,22 @@
                 let change = ListChange::Removed(id);
                 dispatcher.feeds.note_change(offset, &change);
             }
-            News::Unreadable { key, reason } => Event::new("record_unreadable")
+            FeedRecord::Unreadable { key, reason } => Event::new("record_unreadable")
                 .with("key", key)
                 .with("reason", reason)
                 .log(),
         }
     }
 
-    fn remove_missing(&self, part: &FeedPart) {
+    fn remove_missing(&self, part: &FeedPage) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let keep = self.keep_time(now);
         for id in dispatcher.backends.listed() {
             let is_listed = part
-                .news
+                .records
                 .iter()
-                .any(|news| matches!(news, News::Entry(entry) if entry.id == id));
+                .any(|news| matches!(news, FeedRecord::Entry(entry) if entry.id == id));
             if !is_listed {
                 dispatcher.backends.note_removed(now, &id, keep);
             }
--- a/crates/apricotwell_gateway/src/fleet.rs
+++ b/crates/apricotwell_gateway/src/fleet.rs
@@ -83,8 +83,8 @@
         self.generation = joined.generation;
         let now = gateway.now();
         // A free lease falls to one member only: the others need not look.
-        let changed =
-            self.checked.is_none() || (joined.leads && self.checked != Some(joined.generation));
+        let changed = self.checked.is_none()
+            || (joined.is_candidate && self.checked != Some(joined.generation));
         let step = {
             let mut dispatcher = gateway.dispatcher.borrow_mut();
             dispatcher.peers.note_unchanged(now);
@@ -96,7 +96,7 @@
             self.listed_at = Some(now);
         }
         if step == LeaseStep::Check {
-            self.check(joined.leads).await?;
+            self.check(joined.is_candidate).await?;
             self.checked = Some(joined.generation);
         }
         Ok(())
@@ -133,7 +133,7 @@
             };
             match step {
                 LeaseStep::Claim => match self.claim(last.end, standing).await {
-                    Err(StoreError::Moved) => {}
+                    Err(StoreError::Conflict) => {}
                     done => return done,
                 },
                 LeaseStep::Stop => {
@@ -143,7 +143,7 @@
                 LeaseStep::Keep | LeaseStep::Check => return Ok(()),
             }
         }
-        Err(StoreError::Moved)
+        Err(StoreError::Conflict)
     }
 
     async fn claim(&self, at: Offset, standing: Standing) -> Result<(), StoreError> {
--- a/crates/apricotwell_gateway/src/front.rs
+++ b/crates/apricotwell_gateway/src/front.rs
@@ -12,7 +12,7 @@
 use http_body_util::{BodyExt, Either, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
 
-use crate::adapter::{Callers, Platform};
+use crate::adapter::{ClientProtocol, Platform};
 use crate::budget::{Budget, Share};
 use crate::events::Event;
 use crate::gateway::Gateway;
@@ -75,7 +75,7 @@
     let (head, body) = request.into_parts();
     match take(gateway, head, body).await {
         Ok(ticket) => run(ticket).await,
-        Err(refusal) => Served::Whole(P::Callers::encode_refusal(&refusal)),
+        Err(refusal) => Served::Whole(P::ClientProtocol::encode_refusal(&refusal)),
     }
 }
 
@@ -87,7 +87,7 @@
 where
     P: Platform,
 {
-    let call = P::Callers::decode_call(&head)?;
+    let call = P::ClientProtocol::decode_call(&head)?;
     let taken = admit(gateway, &head, body, &call).await;
     if let Err(refusal) = &taken {
         log_refusal(gateway, &call, refusal);
@@ -229,7 +229,7 @@
 {
     let mut response = Response::new(());
     *response.status_mut() = answer.head.status;
-    *response.headers_mut() = P::Callers::relay_headers(&answer.head.headers);
+    *response.headers_mut() = P::ClientProtocol::relay_headers(&answer.head.headers);
     response.headers_mut().remove(http::header::CONTENT_LENGTH);
     Served::Stream(response, Box::new(Relay::new(ticket, answer, flight)))
 }
@@ -253,7 +253,7 @@
             ticket.log_end(outcome, Some(&flight.server), head.status.as_u16());
             let mut response = Response::new(body);
             *response.status_mut() = head.status;
-            *response.headers_mut() = P::Callers::relay_headers(&head.headers);
+            *response.headers_mut() = P::ClientProtocol::relay_headers(&head.headers);
             response.headers_mut().remove(http::header::CONTENT_LENGTH);
             return Ok(response);
         }
@@ -286,7 +286,7 @@
     }
     ticket.log_end(refusal.kind.code(), None, refusal.kind.status());
     log_refusal(&ticket.gateway, &ticket.call, refusal);
-    Served::Whole(P::Callers::encode_refusal(refusal))
+    Served::Whole(P::ClientProtocol::encode_refusal(refusal))
 }
 
 fn log_refusal<P>(gateway: &Gateway<P>, call: &Call, refusal: &Refusal)
--- a/crates/apricotwell_gateway/src/gateway.rs
+++ b/crates/apricotwell_gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use crate::budget::Budget;
 use crate::clock::BootClock;
 use crate::metrics::Metrics;
-use crate::pool::Pool;
+use crate::pool::ConnectionPool;
 
 /// Connections of callers at once: of some four thousand descriptors, the rest is for servers.
 const MAX_CONNECTIONS: usize = 2500;
@@ -21,13 +21,13 @@
 
 /// Addresses on which an instance listens.
 #[derive(Clone, Debug)]
-pub struct Listeners {
+pub struct ListenAddresses {
     /// For callers.
-    pub callers: String,
+    pub clients: String,
     /// For questions whether the instance is ready.
     pub readiness: String,
     /// For questions where to connect.
-    pub look_up: String,
+    pub lookup: String,
     /// For heartbeats of other instances; names the instance.
     pub peers: String,
     /// For metrics, if they are served.
@@ -36,13 +36,13 @@
 
 /// Times of an instance's shell.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct Timings {
     /// Time between a request to stop and the end of the process.
     pub grace: Duration,
     /// Time within which a leaving server must get no more work.
     pub drain: Duration,
     /// Lifetime of answers to look-ups.
-    pub look_up: Duration,
+    pub lookup_ttl: Duration,
 }
 
 /// Instance with its decisions, its connections and its adapter.
@@ -55,17 +55,17 @@
     /// Clock of all decisions.
     pub clock: BootClock,
     /// Connections to servers.
-    pub pool: Rc<Pool>,
+    pub pool: Rc<ConnectionPool>,
     /// Store.
     pub store: P::Store,
     /// Orders.
-    pub engines: P::Engines,
+    pub engines: P::EngineClient,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Addresses.
-    pub listeners: Listeners,
+    pub listeners: ListenAddresses,
     /// Times.
-    pub times: Times,
+    pub times: Timings,
     /// Told when a waiting request may find a server.
     pub changed: Notify,
     /// Told when all other instances should hear of a change.
@@ -97,11 +97,11 @@
     /// Returns an instance that knows nothing yet.
     pub fn new(
         facts: InstanceFacts,
-        listeners: Listeners,
-        times: Times,
-        pool: Rc<Pool>,
+        listeners: ListenAddresses,
+        times: Timings,
+        pool: Rc<ConnectionPool>,
         store: P::Store,
-        engines: P::Engines,
+        engines: P::EngineClient,
     ) -> Rc<Self> {
         let questions = Questions::new(facts.incarnation);
         Rc::new(Self {
--- a/crates/apricotwell_gateway/src/lib.rs
+++ b/crates/apricotwell_gateway/src/lib.rs
@@ -29,10 +29,10 @@
 /// What nearly every user of the crate needs.
 pub mod prelude {
     pub use crate::adapter::{
-        AnswerHead, Attempt, Callers, ClaimRecord, Engines, FeedPart, LastClaim, Membership, News,
-        Platform, Store, StoreError,
+        Attempt, ClaimRecord, ClientProtocol, EngineClient, FeedPage, FeedRecord, LastClaim,
+        Membership, Platform, ResponseHead, Store, StoreError,
     };
     pub use crate::events::Event;
-    pub use crate::gateway::{Gateway, Listeners, Times};
-    pub use crate::pool::{Pool, Reuse, SendError};
+    pub use crate::gateway::{Gateway, ListenAddresses, Timings};
+    pub use crate::pool::{ConnectionPool, Reuse, SendError};
 }
--- a/crates/apricotwell_gateway/src/placing.rs
+++ b/crates/apricotwell_gateway/src/placing.rs
@@ -7,7 +7,7 @@
 use apricotwell_dispatch::stock::Order;
 use apricotwell_types::{Fence, ServerId};
 
-use crate::adapter::{Engines, Platform};
+use crate::adapter::{EngineClient, Platform};
 use crate::events::Event;
 use crate::gateway::Gateway;
 
--- a/crates/apricotwell_gateway/src/pool.rs
+++ b/crates/apricotwell_gateway/src/pool.rs
@@ -73,11 +73,11 @@
 
 /// Pool of connections that are not in use.
 #[derive(Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: RefCell<Map<SocketAddr, Vec<Idle>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Returns an empty pool.
     pub fn new() -> Rc<Self> {
         Rc::default()
@@ -121,7 +121,7 @@
 
     /// Closes all idle connections to an address: one has fallen silent, and whatever silenced it may
     /// have silenced the others too.
-    pub fn distrust(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
@@ -185,7 +185,7 @@
 }
 
 struct Connection {
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     keep: Duration,
--- a/crates/apricotwell_gateway/src/spending.rs
+++ b/crates/apricotwell_gateway/src/spending.rs
@@ -47,7 +47,7 @@
             continue;
         };
         gateway.metrics.note_store_call("keep");
-        if let Err(error) = gateway.store.keep_spending(&spending.encode_to_vec()).await {
+        if let Err(error) = gateway.store.save_usage(&spending.encode_to_vec()).await {
             log::info!("spending not kept: {error}");
         }
     }
@@ -58,7 +58,7 @@
     P: Platform,
 {
     loop {
-        let kept = gateway.store.kept_spending().await;
+        let kept = gateway.store.load_usage().await;
         gateway.metrics.note_store_call("kept");
         let error = match kept.map(|kept| kept.as_deref().map(FleetSpending::decode)) {
             Ok(None) => return,
--- a/crates/apricotwell_gateway/src/ticket.rs
+++ b/crates/apricotwell_gateway/src/ticket.rs
@@ -7,7 +7,7 @@
 use apricotwell_types::{Ending, Refusal, RefusalKind, ServerId};
 use http::request;
 
-use crate::adapter::{Attempt, Callers, Platform};
+use crate::adapter::{Attempt, ClientProtocol, Platform};
 use crate::events::Event;
 use crate::front::HeldBody;
 use crate::gateway::Gateway;
@@ -277,8 +277,12 @@
             priority: None,
             last_event,
         };
-        let request =
-            P::Callers::encode_attempt(&self.head, &self.call, &attempt, self.body.bytes.clone());
+        let request = P::ClientProtocol::encode_attempt(
+            &self.head,
+            &self.call,
+            &attempt,
+            self.body.bytes.clone(),
+        );
         let reuse = if self.admission.route.kind.is_repeatable() {
             Reuse::Any
         } else {
@@ -323,7 +327,7 @@
                 return Sent::Lost("no answer in time".to_owned());
             }
         };
-        let head = P::Callers::decode_answer(&answer.head, &self.call);
+        let head = P::ClientProtocol::decode_response(&answer.head, &self.call);
         if head.misdirected {
             self.note_denied(&flight.server);
             return Sent::NotRun("misdirected".to_owned());
@@ -333,7 +337,7 @@
             return Sent::NotRun("turned away".to_owned());
         }
         self.runs += 1;
-        if !head.matches || (answer.head.status.is_success() && !head.genuine) {
+        if !head.matches_attempt || (answer.head.status.is_success() && !head.is_sealed) {
             flight.note_outcome(true);
             return Sent::Lost("the answer belongs to another request".to_owned());
         }
