--- a/crates/apricotwell_node/src/claim_desk.rs
+++ b/crates/apricotwell_node/src/claim_client.rs
@@ -9,21 +9,21 @@
 use apricotwell_types::{Ending, RequestId, Shard};
 
 /// Pause before a message without an answer is sent again.
-const RESEND: Duration = Duration::from_millis(300);
+const RESEND_DELAY: Duration = Duration::from_millis(300);
 /// Ends that may wait for being recorded.
-const MAX_ENDS: usize = 10_000;
+const MAX_UNRECORDED: usize = 10_000;
 
 #[derive(Debug)]
-struct Asking {
+struct PendingClaim {
     request: RequestId,
     shard: Shard,
-    ask: ClaimAsk,
+    claim: ClaimAsk,
     sent: Option<Instant>,
-    give_up: Instant,
+    deadline: Instant,
 }
 
 #[derive(Debug)]
-struct UnrecordedEnd {
+struct UnrecordedOutcome {
     shard: Shard,
     finished: Finished,
     sent: Option<Instant>,
@@ -48,71 +48,71 @@
 
 /// Asks under way and ends not yet recorded.
 #[derive(Debug, Default)]
-pub(crate) struct ClaimDesk {
-    asking: BTreeMap<String, Asking>,
-    ends: BTreeMap<String, UnrecordedEnd>,
+pub(crate) struct ClaimClient {
+    pending: BTreeMap<String, PendingClaim>,
+    unrecorded: BTreeMap<String, UnrecordedOutcome>,
 }
 
-impl ClaimDesk {
+impl ClaimClient {
     /// Asks for a key on behalf of an attempt.
-    pub(crate) fn ask(
+    pub(crate) fn request(
         &mut self,
         request: RequestId,
         shard: Shard,
         key: BodyDigest,
         body: BodyDigest,
         attempt: &str,
-        give_up: Instant,
+        deadline: Instant,
     ) {
-        let ask = ClaimAsk {
+        let claim = ClaimAsk {
             key: key.0.to_vec(),
             body: body.0.to_vec(),
             attempt: attempt.to_owned(),
         };
-        let asking = Asking {
+        let pending = PendingClaim {
             request,
             shard,
-            ask,
+            claim,
             sent: None,
-            give_up,
+            deadline,
         };
-        self.asking.insert(attempt.to_owned(), asking);
+        self.pending.insert(attempt.to_owned(), pending);
     }
 
     /// Tells how an attempt ended.
-    pub(crate) fn finish(
+    pub(crate) fn report_outcome(
         &mut self,
         shard: Shard,
         key: BodyDigest,
         attempt: &str,
         outcome: &Outcome,
     ) {
-        if self.ends.len() >= MAX_ENDS {
+        if self.unrecorded.len() >= MAX_UNRECORDED {
             // The claim stays without an outcome, which a repeat is told truthfully.
             return;
         }
-        let end = UnrecordedEnd {
+        let end = UnrecordedOutcome {
             shard,
             finished: outcome.to_record(key, attempt),
             sent: None,
         };
-        self.ends.insert(attempt.to_owned(), end);
+        self.unrecorded.insert(attempt.to_owned(), end);
     }
 
     /// Returns messages that are due, by shard, and requests whose claim took too long.
     pub(crate) fn tick(&mut self, now: Instant) -> (Vec<(Shard, Message)>, Vec<RequestId>) {
-        let due = |sent: Option<Instant>| sent.is_none_or(|sent| now >= sent + RESEND);
+        let due = |sent: Option<Instant>| sent.is_none_or(|sent| now >= sent + RESEND_DELAY);
         let mut messages = Vec::new();
         let mut late = Vec::new();
-        for asking in self.asking.values_mut() {
-            if now >= asking.give_up {
-                late.push(asking.request);
-            } else if due(asking.sent) {
-                asking.sent = Some(now);
-                messages.push((asking.shard, Message::ClaimAsk(asking.ask.clone())));
+        for pending in self.pending.values_mut() {
+            if now >= pending.deadline {
+                late.push(pending.request);
+            } else if due(pending.sent) {
+                pending.sent = Some(now);
+                messages.push((pending.shard, Message::ClaimAsk(pending.claim.clone())));
             }
         }
-        for end in self.ends.values_mut() {
+        for end in self.unrecorded.values_mut() {
             if due(end.sent) {
                 end.sent = Some(now);
                 let finished = Some(end.finished.clone());
@@ -129,37 +129,37 @@
             Ok(ClaimVerdict::Held) => ClaimResult::Held,
             Ok(ClaimVerdict::OtherBody) => ClaimResult::OtherBody,
             Ok(ClaimVerdict::Unavailable) => ClaimResult::Unavailable,
-            Ok(ClaimVerdict::Ended) => ended(reply.finished.as_ref()?),
+            Ok(ClaimVerdict::Ended) => recorded_result(reply.finished.as_ref()?),
             // The lease has moved: the next tick asks its new holder.
             Ok(ClaimVerdict::NotHolder | ClaimVerdict::Unspecified) | Err(_) => return None,
         };
-        let asking = self.asking.remove(&reply.attempt)?;
-        Some((asking.request, result))
+        let pending = self.pending.remove(&reply.attempt)?;
+        Some((pending.request, result))
     }
 
     /// Notes that the end of an attempt is recorded.
-    pub(crate) fn on_finished(&mut self, attempt: &str) {
-        self.ends.remove(attempt);
+    pub(crate) fn on_outcome_recorded(&mut self, attempt: &str) {
+        self.unrecorded.remove(attempt);
     }
 
     /// Gives up an ask. Its claim may be recorded all the same, so its end is told as not run.
-    pub(crate) fn give_up(&mut self, attempt: &str) {
-        let Some(asking) = self.asking.remove(attempt) else {
+    pub(crate) fn cancel(&mut self, attempt: &str) {
+        let Some(pending) = self.pending.remove(attempt) else {
             return;
         };
-        if let Some(key) = BodyDigest::from_slice(&asking.ask.key) {
+        if let Some(key) = BodyDigest::from_slice(&pending.claim.key) {
             let outcome = Outcome::Ended(Ending::NotRun);
-            self.finish(asking.shard, key, attempt, &outcome);
+            self.report_outcome(pending.shard, key, attempt, &outcome);
         }
     }
 
     /// Returns how many ends wait for being recorded.
-    pub(crate) fn ends(&self) -> usize {
-        self.ends.len()
+    pub(crate) fn unrecorded(&self) -> usize {
+        self.unrecorded.len()
     }
 }
 
-fn ended(finished: &Finished) -> ClaimResult {
+fn recorded_result(finished: &Finished) -> ClaimResult {
     match Ending::from_name(&finished.outcome) {
         Some(ending) => ClaimResult::Ended(ending),
         None => ClaimResult::Answered(Answer {
--- a/crates/apricotwell_node/src/claim_holder.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -18,7 +18,7 @@
 /// Pause before an append or a read is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Time without an append's outcome after which the asks in it are turned away.
-const MAX_ASK_AGE: Duration = Duration::from_secs(2);
+const MAX_CLAIM_AGE: Duration = Duration::from_secs(2);
 /// Time that an ask waits for the end of another attempt with its key.
 const MAX_HELD_WAIT: Duration = Duration::from_millis(1000);
 /// Records in one append.
@@ -30,20 +30,20 @@
 pub(crate) type Reply = (InstanceId, Message);
 
 #[derive(Debug)]
-struct WaitingAsk {
+struct PendingClaim {
     from: InstanceId,
-    ask: ClaimAsk,
+    claim: ClaimAsk,
     since: Instant,
 }
 
 #[derive(Debug)]
-struct WaitingEnd {
+struct PendingOutcome {
     from: InstanceId,
     finished: Finished,
 }
 
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     ticket: u64,
     records: Vec<Vec<u8>>,
     // Last offset of the group once it is appended.
@@ -51,7 +51,7 @@
     // When the same bytes go again, their outcome being unknown.
     retry: Option<Instant>,
     // Whether an earlier append of the group may still take effect.
-    doubtful: bool,
+    uncertain: bool,
     // Attempts that the group claims keys for.
     attempts: Vec<String>,
 }
@@ -66,9 +66,9 @@
 struct HeldShard {
     fence: Fence,
     table: ClaimTable,
-    asks: Vec<WaitingAsk>,
-    ends: Vec<WaitingEnd>,
-    flight: Option<Flight>,
+    pending: Vec<PendingClaim>,
+    outcomes: Vec<PendingOutcome>,
+    in_flight: Option<InFlight>,
     reading: Option<Instant>,
     pause_until: Option<Instant>,
     // Whether this holder's term has been appended.
@@ -76,38 +76,38 @@
     // Claims that stand below this offset are to be written anew.
     republish_below: Offset,
     // End of the stream when claims were last written anew.
-    boundary: Offset,
+    republish_boundary: Offset,
     republish_at: Option<Instant>,
 }
 
 /// Claim shards held by this instance.
 #[derive(Debug, Default)]
-pub(crate) struct ClaimHolder {
+pub(crate) struct ClaimCoordinator {
     shards: BTreeMap<Shard, HeldShard>,
 }
 
-impl ClaimHolder {
+impl ClaimCoordinator {
     /// Takes an ask for a shard held under `fence`.
-    pub(crate) fn on_ask(
+    pub(crate) fn on_claim(
         &mut self,
         now: Instant,
         shard: Shard,
         fence: Fence,
         from: InstanceId,
-        ask: ClaimAsk,
+        claim: ClaimAsk,
     ) -> Option<Reply> {
         let held = self.shard(shard, fence);
-        if held.asks.len() >= MAX_QUEUE {
-            return Some(reply(from, &ask.attempt, ClaimVerdict::Unavailable, None));
+        if held.pending.len() >= MAX_QUEUE {
+            return Some(reply(from, &claim.attempt, ClaimVerdict::Unavailable, None));
         }
         let known = held
-            .asks
+            .pending
             .iter()
-            .any(|known| known.ask.attempt == ask.attempt);
+            .any(|known| known.claim.attempt == claim.attempt);
         if !known {
-            held.asks.push(WaitingAsk {
+            held.pending.push(PendingClaim {
                 from,
-                ask,
+                claim,
                 since: now,
             });
         }
@@ -127,14 +127,14 @@
         };
         let held = self.shard(shard, fence);
         // The attempt has been given up: claiming its key now would block the key for good.
-        held.asks
-            .retain(|waiting| waiting.ask.attempt != finished.attempt);
+        held.pending
+            .retain(|waiting| waiting.claim.attempt != finished.attempt);
         let known = held
-            .ends
+            .outcomes
             .iter()
             .any(|end| end.finished.attempt == finished.attempt);
-        if !known && held.ends.len() < MAX_QUEUE {
-            held.ends.push(WaitingEnd { from, finished });
+        if !known && held.outcomes.len() < MAX_QUEUE {
+            held.outcomes.push(PendingOutcome { from, finished });
         }
     }
 
@@ -147,7 +147,7 @@
         wall: Duration,
         memory: Duration,
         tickets: &mut u64,
-        is_gone: F,
+        has_ended: F,
     ) -> (Vec<Reply>, Vec<Action>)
     where
         F: Fn(&str) -> bool,
@@ -158,8 +158,8 @@
         let oldest = wall_ms.saturating_sub(memory.as_millis() as u64);
         for (shard, held) in &mut self.shards {
             held.table.forget(oldest);
-            held.turn_away(now, &mut replies);
-            held.answer(now, &is_gone, &mut replies);
+            held.reject_expired(now, &mut replies);
+            held.send_verdicts(now, &has_ended, &mut replies);
             actions.extend(held.append(now, *shard, wall_ms, tickets));
             actions.extend(held.read(now, *shard));
         }
@@ -174,26 +174,26 @@
         result: Result<Offset, AppendError>,
     ) {
         let find = |held: &&mut HeldShard| {
-            let flight = held.flight.as_ref();
-            flight.is_some_and(|flight| flight.ticket == ticket)
+            let in_flight = held.in_flight.as_ref();
+            in_flight.is_some_and(|in_flight| in_flight.ticket == ticket)
         };
         let Some(held) = self.shards.values_mut().find(find) else {
             return;
         };
-        let Some(flight) = &mut held.flight else {
+        let Some(in_flight) = &mut held.in_flight else {
             return;
         };
         match result {
-            Ok(first) => flight.last = Some(first + flight.records.len() as Offset - 1),
+            Ok(first) => in_flight.last = Some(first + in_flight.records.len() as Offset - 1),
             // What was refused this time may have been taken the time before.
-            Err(AppendError::NotAppended) if !flight.doubtful => {
-                held.flight = None;
+            Err(AppendError::NotAppended) if !in_flight.uncertain => {
+                held.in_flight = None;
                 held.opening = false;
                 held.pause_until = Some(now + RETRY_PAUSE);
             }
             Err(_) => {
-                flight.doubtful = true;
-                flight.retry = Some(now + RETRY_PAUSE);
+                in_flight.uncertain = true;
+                in_flight.retry = Some(now + RETRY_PAUSE);
             }
         }
     }
@@ -226,15 +226,15 @@
     }
 
     /// Keeps a shard open under `fence`, and has claims older than one `period` written anew.
-    pub(crate) fn hold(&mut self, now: Instant, shard: Shard, fence: Fence, period: Duration) {
+    pub(crate) fn keep_open(&mut self, now: Instant, shard: Shard, fence: Fence, period: Duration) {
         let held = self.shard(shard, fence);
         let due = held.republish_at.get_or_insert(now + period);
         if now < *due {
             return;
         }
         held.republish_at = Some(now + period);
-        held.republish_below = held.boundary;
-        held.boundary = held.table.next();
+        held.republish_below = held.republish_boundary;
+        held.republish_boundary = held.table.next();
     }
 
     /// Returns the number of claims over all held shards.
@@ -258,14 +258,14 @@
         Self {
             fence,
             table: ClaimTable::default(),
-            asks: Vec::new(),
-            ends: Vec::new(),
-            flight: None,
+            pending: Vec::new(),
+            outcomes: Vec::new(),
+            in_flight: None,
             reading: None,
             pause_until: None,
             opening: false,
             republish_below: 0,
-            boundary: 0,
+            republish_boundary: 0,
             republish_at: None,
         }
     }
@@ -279,10 +279,10 @@
         self.table.fence() > self.fence
     }
 
-    fn turn_away(&mut self, now: Instant, replies: &mut Vec<Reply>) {
+    fn reject_expired(&mut self, now: Instant, replies: &mut Vec<Reply>) {
         let superseded = self.is_superseded();
-        self.asks.retain(|waiting| {
-            let late = now >= waiting.since + MAX_ASK_AGE;
+        self.pending.retain(|waiting| {
+            let late = now >= waiting.since + MAX_CLAIM_AGE;
             if !late && !superseded {
                 return true;
             }
@@ -293,7 +293,7 @@
             };
             replies.push(reply(
                 waiting.from.clone(),
-                &waiting.ask.attempt,
+                &waiting.claim.attempt,
                 verdict,
                 None,
             ));
@@ -301,7 +301,7 @@
         });
     }
 
-    fn answer<F>(&mut self, now: Instant, is_gone: &F, replies: &mut Vec<Reply>)
+    fn send_verdicts<F>(&mut self, now: Instant, has_ended: &F, replies: &mut Vec<Reply>)
     where
         F: Fn(&str) -> bool,
     {
@@ -309,24 +309,26 @@
             return;
         }
         let table = &self.table;
-        let ends = &mut self.ends;
-        self.asks.retain(|waiting| {
-            let Some((verdict, finished)) = judge(table, ends, &waiting.ask, is_gone) else {
+        let outcomes = &mut self.outcomes;
+        self.pending.retain(|waiting| {
+            let Some((verdict, finished)) = decide(table, outcomes, &waiting.claim, has_ended)
+            else {
                 return true;
             };
             // The attempt that holds the key mostly ends soon, and its answer serves this ask too.
             if verdict == ClaimVerdict::Held && now < waiting.since + MAX_HELD_WAIT {
                 return true;
             }
-            let attempt = &waiting.ask.attempt;
+            let attempt = &waiting.claim.attempt;
             replies.push(reply(waiting.from.clone(), attempt, verdict, finished));
             false
         });
-        let flight = self.flight.as_ref();
-        self.ends.retain(|end| {
+        let in_flight = self.in_flight.as_ref();
+        self.outcomes.retain(|end| {
             let attempt = &end.finished.attempt;
-            let may_come = flight.is_some_and(|flight| flight.attempts.contains(attempt));
-            let done = !may_come && is_recorded(table, &end.finished);
+            let may_be_claimed =
+                in_flight.is_some_and(|in_flight| in_flight.attempts.contains(attempt));
+            let done = !may_be_claimed && is_recorded(table, &end.finished);
             if done && !end.from.is_empty() {
                 let attempt = end.finished.attempt.clone();
                 let confirmation = Message::ClaimFinished(ClaimFinished { attempt });
@@ -343,12 +345,12 @@
         wall_ms: u64,
         tickets: &mut u64,
     ) -> Option<Action> {
-        if let Some(flight) = &mut self.flight {
-            if flight.last.is_some_and(|last| self.table.next() > last) {
-                self.flight = None;
-            } else if flight.retry.is_some_and(|at| now >= at) {
-                flight.retry = None;
-                return Some(append_action(shard, flight));
+        if let Some(in_flight) = &mut self.in_flight {
+            if in_flight.last.is_some_and(|last| self.table.next() > last) {
+                self.in_flight = None;
+            } else if in_flight.retry.is_some_and(|at| now >= at) {
+                in_flight.retry = None;
+                return Some(append_action(shard, in_flight));
             } else {
                 return None;
             }
@@ -368,26 +370,26 @@
             .map(|body| record(body).to_bytes())
             .collect();
         if self.is_open() && self.republish_below > 0 {
-            let again = self.table.republish(self.republish_below, MAX_GROUP);
-            if again.is_empty() {
+            let republished = self.table.republish(self.republish_below, MAX_GROUP);
+            if republished.is_empty() {
                 self.republish_below = 0;
             }
-            records.extend(again.iter().map(ClaimRecord::to_bytes));
+            records.extend(republished.iter().map(ClaimRecord::to_bytes));
         }
         if records.is_empty() {
             return None;
         }
         *tickets += 1;
-        let flight = Flight {
+        let in_flight = InFlight {
             ticket: *tickets,
             records,
             last: None,
             retry: None,
-            doubtful: false,
+            uncertain: false,
             attempts,
         };
-        let action = append_action(shard, &flight);
-        self.flight = Some(flight);
+        let action = append_action(shard, &in_flight);
+        self.in_flight = Some(in_flight);
         Some(action)
     }
 
@@ -399,17 +401,17 @@
             self.opening = true;
             return vec![ClaimBody::Opened(Opened {})];
         }
-        let ends = self.ends.iter().take(MAX_GROUP);
-        let mut bodies: Vec<ClaimBody> = ends
+        let outcomes = self.outcomes.iter().take(MAX_GROUP);
+        let mut bodies: Vec<ClaimBody> = outcomes
             .map(|end| ClaimBody::Finished(end.finished.clone()))
             .collect();
         let table = &self.table;
-        let is_free = |waiting: &&WaitingAsk| is_free(table, &waiting.ask);
-        for waiting in self.asks.iter().filter(is_free).take(MAX_GROUP) {
+        let is_free = |waiting: &&PendingClaim| is_free(table, &waiting.claim);
+        for waiting in self.pending.iter().filter(is_free).take(MAX_GROUP) {
             bodies.push(ClaimBody::Claimed(Claimed {
-                key: waiting.ask.key.clone(),
-                body: waiting.ask.body.clone(),
-                attempt: waiting.ask.attempt.clone(),
+                key: waiting.claim.key.clone(),
+                body: waiting.claim.body.clone(),
+                attempt: waiting.claim.attempt.clone(),
             }));
         }
         bodies
@@ -418,9 +420,9 @@
     // Reads while something that was appended has not been seen.
     fn read(&mut self, now: Instant, shard: Shard) -> Option<Action> {
         let appended = self
-            .flight
+            .in_flight
             .as_ref()
-            .is_some_and(|flight| flight.last.is_some());
+            .is_some_and(|in_flight| in_flight.last.is_some());
         if !appended || self.reading.is_some_and(|at| now < at + RETRY_PAUSE * 5) {
             return None;
         }
@@ -452,33 +454,33 @@
 }
 
 // Returns the verdict on an ask, `None` while its record must be appended or read back.
-fn judge<F>(
+fn decide<F>(
     table: &ClaimTable,
-    ends: &mut Vec<WaitingEnd>,
-    ask: &ClaimAsk,
-    is_gone: &F,
+    outcomes: &mut Vec<PendingOutcome>,
+    claim: &ClaimAsk,
+    has_ended: &F,
 ) -> Option<(ClaimVerdict, Option<Finished>)>
 where
     F: Fn(&str) -> bool,
 {
-    let key = BodyDigest::from_slice(&ask.key);
-    let body = BodyDigest::from_slice(&ask.body);
+    let key = BodyDigest::from_slice(&claim.key);
+    let body = BodyDigest::from_slice(&claim.body);
     let (Some(key), Some(body)) = (key, body) else {
         return Some((ClaimVerdict::Unavailable, None));
     };
-    match table.verdict(key, body, &ask.attempt) {
+    match table.verdict(key, body, &claim.attempt) {
         Verdict::Free => None,
         Verdict::Granted => Some((ClaimVerdict::Granted, None)),
         Verdict::OtherBody => Some((ClaimVerdict::OtherBody, None)),
         Verdict::Ended(outcome) => {
-            let finished = outcome.to_record(key, &ask.attempt);
+            let finished = outcome.to_record(key, &claim.attempt);
             Some((ClaimVerdict::Ended, Some(finished)))
         }
-        Verdict::Held(attempt) if is_gone(&attempt) => {
+        Verdict::Held(attempt) if has_ended(&attempt) => {
             // Its process ended without telling; nobody will ever know more.
             let unknown = Outcome::Ended(Ending::OutcomeUnknown).to_record(key, &attempt);
-            if !ends.iter().any(|end| end.finished.attempt == attempt) {
-                ends.push(WaitingEnd {
+            if !outcomes.iter().any(|end| end.finished.attempt == attempt) {
+                outcomes.push(PendingOutcome {
                     from: "".into(),
                     finished: unknown,
                 });
@@ -497,12 +499,12 @@
     !table.is_running(key, &finished.attempt)
 }
 
-fn is_free(table: &ClaimTable, ask: &ClaimAsk) -> bool {
-    let key = BodyDigest::from_slice(&ask.key);
-    let body = BodyDigest::from_slice(&ask.body);
+fn is_free(table: &ClaimTable, claim: &ClaimAsk) -> bool {
+    let key = BodyDigest::from_slice(&claim.key);
+    let body = BodyDigest::from_slice(&claim.body);
     let verdict = key
         .zip(body)
-        .map(|(key, body)| table.verdict(key, body, &ask.attempt));
+        .map(|(key, body)| table.verdict(key, body, &claim.attempt));
     verdict == Some(Verdict::Free)
 }
 
@@ -514,11 +516,11 @@
     bodies.iter().filter_map(attempt).collect()
 }
 
-fn append_action(shard: Shard, flight: &Flight) -> Action {
+fn append_action(shard: Shard, in_flight: &InFlight) -> Action {
     Action::Append {
         stream: claim_stream(shard),
-        ticket: flight.ticket,
-        records: flight.records.clone(),
+        ticket: in_flight.ticket,
+        records: in_flight.records.clone(),
     }
 }
 
--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -13,37 +13,37 @@
 use apricotwell_types::{Fence, InstanceId, Offset, Shard};
 
 use crate::NodeSettings;
-use crate::order_desk::HeldTerm;
-use crate::token_desk::Tenure;
+use crate::order_manager::HeldTerm;
+use crate::token_manager::TermStart;
 
 /// Time in which a new instance lets the members on the list answer before it takes leases.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Statements of others on one answer.
-const MAX_HEARD: usize = 24;
+const MAX_RELAYED: usize = 24;
 /// Windows without contact to the log after which an instance counts as unable to decide.
 const LOST_WINDOWS: u32 = 3;
 /// Time for which a shard is kept before it is handed on: by then its last holder's leaving is known
 /// here, and the shard is not handed back.
-const MIN_TENURE: Duration = Duration::from_secs(3);
+const MIN_TERM: Duration = Duration::from_secs(3);
 
 /// Members, freshness of the view, and standing on duty shards.
 #[derive(Debug)]
 pub(crate) struct Fleet {
-    me: InstanceId,
+    own_id: InstanceId,
     incarnation: u64,
     window: Duration,
     membership: Membership,
     freshness: Freshness,
-    standings: Standings,
+    leases: Standings,
     // Instances on the platform's list, this one included.
     listed: Vec<InstanceId>,
     leaving: bool,
     started: Instant,
     // When this instance last reached the log itself.
-    direct: Option<Instant>,
+    last_contact: Option<Instant>,
     // Which statements of others the next answer passes on.
-    next_heard: usize,
+    next_relayed: usize,
 }
 
 impl Fleet {
@@ -57,31 +57,31 @@
             settings.seed,
         );
         Self {
-            me: settings.id.clone(),
+            own_id: settings.id.clone(),
             incarnation: settings.incarnation,
             window: settings.evidence_window,
             membership,
             freshness: Freshness::new(settings.evidence_window),
-            standings: Standings::new(settings.id.clone(), settings.incarnation),
+            leases: Standings::new(settings.id.clone(), settings.incarnation),
             listed: vec![settings.id.clone()],
             leaving: false,
             started: now,
-            direct: None,
-            next_heard: 0,
+            last_contact: None,
+            next_relayed: 0,
         }
     }
 
     pub(crate) fn set_list(&mut self, now: Instant, list: &[Contact]) {
         self.membership.set_list(now, list);
         self.listed = list.iter().map(|contact| contact.id.clone()).collect();
-        if !self.listed.contains(&self.me) {
-            self.listed.push(self.me.clone());
+        if !self.listed.contains(&self.own_id) {
+            self.listed.push(self.own_id.clone());
         }
         self.freshness.retain(&self.listed);
     }
 
-    pub(crate) fn note_log_read(&mut self, began: Instant, next: Offset, reached_end: bool) {
-        self.direct = self.direct.max(Some(began));
+    pub(crate) fn on_log_read(&mut self, began: Instant, next: Offset, reached_end: bool) {
+        self.last_contact = self.last_contact.max(Some(began));
         if reached_end {
             self.freshness.note_log_read(began, next);
         } else {
@@ -89,12 +89,12 @@
         }
     }
 
-    pub(crate) fn note_applied(&mut self, next: Offset) {
+    pub(crate) fn set_applied(&mut self, next: Offset) {
         self.freshness.note_applied(next);
     }
 
     pub(crate) fn view(&self, now: Instant) -> View {
-        self.freshness.view(now, &self.listed, &self.me)
+        self.freshness.view(now, &self.listed, &self.own_id)
     }
 
     pub(crate) fn contact_age(&self, now: Instant) -> Option<Duration> {
@@ -125,7 +125,7 @@
     }
 
     /// Returns the members that a caller may be sent to, this one included.
-    pub(crate) fn open_members(&self) -> Vec<(InstanceId, String)> {
+    pub(crate) fn ready_members(&self) -> Vec<(InstanceId, String)> {
         let peers = self.membership.members().filter(|member| {
             member.news.state == MemberState::Alive && member.news.incarnation > 0
         });
@@ -143,13 +143,13 @@
     }
 
     /// Returns whether the process that made an attempt `instance/incarnation/…` has ended.
-    pub(crate) fn is_gone(&self, attempt: &str) -> bool {
+    pub(crate) fn has_ended(&self, attempt: &str) -> bool {
         let mut parts = attempt.split('/');
         let (Some(instance), Some(incarnation)) = (parts.next(), parts.next()) else {
             return true;
         };
         let incarnation: u64 = incarnation.parse().unwrap_or(0);
-        if *instance == *self.me {
+        if *instance == *self.own_id {
             return incarnation != self.incarnation;
         }
         match self.membership.get(instance) {
@@ -194,7 +194,7 @@
                 number: ping.number,
             },
             Some(Message::Ack(ack)) => {
-                self.note_evidence(ack.number, &sender.contact.id, envelope);
+                self.apply_evidence(ack.number, &sender.contact.id, envelope);
                 Probe::Ack { number: ack.number }
             }
             Some(Message::PingFor(ask)) => Probe::PingFor {
@@ -203,14 +203,14 @@
             },
             _ => return Vec::new(),
         };
-        let news: Vec<_> = envelope.news.iter().filter_map(News::to_update).collect();
-        let out = self.membership.receive(now, &sender, probe, &news);
+        let updates: Vec<_> = envelope.news.iter().filter_map(News::to_update).collect();
+        let out = self.membership.receive(now, &sender, probe, &updates);
         self.envelopes(now, next, out)
     }
 
     // Only an answer to an own ping counts: its beginning is known by this instance's clock. The
     // ages of what others said count from then, so that nothing is taken for newer than it was.
-    fn note_evidence(&mut self, number: u64, peer: &InstanceId, envelope: &Envelope) {
+    fn apply_evidence(&mut self, number: u64, peer: &InstanceId, envelope: &Envelope) {
         let Some(asked) = self.membership.ping_sent(number, peer) else {
             return;
         };
@@ -227,7 +227,7 @@
             let Some(asked) = asked.checked_sub(Duration::from_millis(heard.age_ms)) else {
                 continue;
             };
-            if *heard.member == *self.me {
+            if *heard.member == *self.own_id {
                 continue;
             }
             let evidence = Evidence {
@@ -243,14 +243,14 @@
 
     // Some of what others said, in turn, so that a statement reaches everybody though each member
     // probes few others.
-    fn pass_heard(&mut self, now: Instant) -> Vec<HeardEvidence> {
+    fn relay_evidence(&mut self, now: Instant) -> Vec<HeardEvidence> {
         let mut statements: Vec<(&InstanceId, &Evidence)> =
             self.freshness.statements(now).collect();
         statements.sort_unstable_by_key(|(peer, _)| *peer);
         let count = statements.len();
-        let first = self.next_heard;
-        self.next_heard = first.wrapping_add(MAX_HEARD);
-        let turn = (0..count.min(MAX_HEARD)).map(|index| statements[(first + index) % count]);
+        let first = self.next_relayed;
+        self.next_relayed = first.wrapping_add(MAX_RELAYED);
+        let turn = (0..count.min(MAX_RELAYED)).map(|index| statements[(first + index) % count]);
         turn.map(|(peer, evidence)| HeardEvidence {
             member: peer.to_string(),
             next: evidence.next,
@@ -278,9 +278,9 @@
             next,
             // Rounded up, so that a peer never takes the contact for more recent than it was.
             contact_ms: age.map(|age| age.as_millis() as u64 + 1),
-            direct_ms: self
-                .direct
-                .map(|direct| now.saturating_duration_since(direct).as_millis() as u64 + 1),
+            direct_ms: self.last_contact.map(|last_contact| {
+                now.saturating_duration_since(last_contact).as_millis() as u64 + 1
+            }),
         }
     }
 
@@ -304,7 +304,7 @@
             let mut envelope = self.envelope(now, next, body);
             envelope.news = outgoing.news.iter().map(News::from_update).collect();
             if is_answer {
-                envelope.heard = self.pass_heard(now);
+                envelope.heard = self.relay_evidence(now);
             }
             envelopes.push((outgoing.to, envelope));
         }
@@ -313,20 +313,20 @@
 
     /// Brings the standing on leases up to date.
     pub(crate) fn refresh(&mut self, now: Instant, state: &State) {
-        self.standings
+        self.leases
             .refresh(now, state, &self.freshness, &self.listed);
     }
 
     /// Returns the standing on a shard; ask again immediately before each effect.
-    pub(crate) fn standing(&self, now: Instant, shard: Shard) -> Standing {
-        let until = self.freshness.leases_until(now, &self.listed, &self.me);
-        self.standings.check(now, shard, until, self.window)
+    pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> Standing {
+        let until = self.freshness.leases_until(now, &self.listed, &self.own_id);
+        self.leases.check(now, shard, until, self.window)
     }
 
     /// Returns the fence of a recorded lease of this instance, effective right now or not.
     pub(crate) fn recorded_fence(&self, state: &State, shard: Shard) -> Option<Fence> {
         let lease = state.lease(shard)?;
-        let own = lease.holder == self.me && lease.incarnation == self.incarnation;
+        let own = lease.holder == self.own_id && lease.incarnation == self.incarnation;
         own.then_some(lease.fence)
     }
 
@@ -337,19 +337,24 @@
 
     /// Returns fence and end of the term of a shard that may be acted on right now.
     pub(crate) fn term(&self, now: Instant, shard: Shard) -> Option<HeldTerm> {
-        match self.standing(now, shard) {
+        match self.lease_state(now, shard) {
             Standing::Held { fence, until, .. } => Some(HeldTerm { fence, until }),
             _ => None,
         }
     }
 
     /// Returns how this instance came by a shard that it may act on right now.
-    pub(crate) fn tenure(&self, now: Instant, state: &State, shard: Shard) -> Option<Tenure> {
-        let Standing::Held { fence, since, .. } = self.standing(now, shard) else {
+    pub(crate) fn term_start(
+        &self,
+        now: Instant,
+        state: &State,
+        shard: Shard,
+    ) -> Option<TermStart> {
+        let Standing::Held { fence, since, .. } = self.lease_state(now, shard) else {
             return None;
         };
         let lease = state.lease(shard)?;
-        Some(Tenure {
+        Some(TermStart {
             fence,
             previous: lease.previous,
             since,
@@ -358,22 +363,23 @@
 
     /// Returns the shards of this instance's recorded leases.
     pub(crate) fn own_shards(&self) -> Vec<Shard> {
-        self.standings.shards()
+        self.leases.shards()
     }
 
     /// Gives up a shard before its handover is recorded.
     pub(crate) fn release(&mut self, shard: Shard) {
-        self.standings.release(shard);
+        self.leases.release(shard);
     }
 
     /// Takes released shards back, once the log has definitely not taken their handovers.
     pub(crate) fn restore(&mut self) {
-        self.standings.restore();
+        self.leases.restore();
     }
 
     /// Returns whether this instance reaches the log itself, so that it can append.
     pub(crate) fn reaches_log(&self, now: Instant) -> bool {
-        self.direct.is_some_and(|direct| now < direct + self.window)
+        self.last_contact
+            .is_some_and(|last_contact| now < last_contact + self.window)
     }
 
     /// Plans lease records; only an instance that reaches the log can append them.
@@ -382,22 +388,22 @@
             return LeasePlan::default();
         }
         // A fleet that starts together would otherwise move most leases right after taking them.
-        if now < self.started + SETTLE_TIME && !self.has_met_all() {
+        if now < self.started + SETTLE_TIME && !self.all_answered() {
             return LeasePlan::default();
         }
         let live = self.live_members(now);
         let may_hand = |shard| {
             self.leaving
-                || matches!(self.standing(now, shard), Standing::Held { since, .. }
-                    if now >= since + MIN_TENURE)
+                || matches!(self.lease_state(now, shard), Standing::Held { since, .. }
+                    if now >= since + MIN_TERM)
         };
-        plan_leases(state, &live, &self.me, self.incarnation, may_hand)
+        plan_leases(state, &live, &self.own_id, self.incarnation, may_hand)
     }
 
-    fn has_met_all(&self) -> bool {
+    fn all_answered(&self) -> bool {
         self.listed.iter().all(|id| {
             let member = self.membership.get(id);
-            *id == self.me || member.is_some_and(|member| member.news.incarnation > 0)
+            *id == self.own_id || member.is_some_and(|member| member.news.incarnation > 0)
         })
     }
 
@@ -405,8 +411,8 @@
     // log for two windows, while this instance does, can decide nothing and loses them.
     fn live_members(&self, now: Instant) -> Vec<LiveMember> {
         let reaches_log = |id: &InstanceId| {
-            let direct = self.freshness.direct_contact(id);
-            direct.is_none_or(|direct| now < direct + self.window * LOST_WINDOWS)
+            let last_contact = self.freshness.direct_contact(id);
+            last_contact.is_none_or(|last_contact| now < last_contact + self.window * LOST_WINDOWS)
         };
         let mut live: Vec<LiveMember> = self
             .membership
@@ -420,7 +426,7 @@
             })
             .collect();
         live.push(LiveMember {
-            id: self.me.clone(),
+            id: self.own_id.clone(),
             incarnation: self.incarnation,
             leaving: self.leaving,
         });
--- a/crates/apricotwell_node/src/lib.rs
+++ b/crates/apricotwell_node/src/lib.rs
@@ -19,23 +19,23 @@
 //! ```
 
 mod action;
-mod claim_desk;
-mod claim_holder;
+mod claim_client;
+mod claim_coordinator;
 mod fleet;
 mod log_writer;
 mod node;
-mod order_desk;
+mod order_manager;
 mod requests;
-mod server_desk;
+mod server_registry;
 mod settings;
 mod status;
 mod submission;
-mod token_desk;
+mod token_manager;
 
 pub use action::{Action, Dispatch, EngineOrder, OrderKind, OrderOutcome};
 pub use node::Node;
 pub use requests::{AttemptOutcome, StoredAnswer};
-pub use server_desk::{ListedServer, ReportedReplica, ServerReport};
+pub use server_registry::{ListedServer, ReportedReplica, ServerReport};
 pub use settings::NodeSettings;
 pub use status::{InstanceStatus, LeaseStatus, ModelStatus, ReplicaStatus, ServerStatus, Status};
 pub use submission::{Submission, Target};
--- a/crates/apricotwell_node/src/log_writer.rs
+++ b/crates/apricotwell_node/src/log_writer.rs
@@ -13,7 +13,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
-enum Flight {
+enum AppendState {
     // Sent; no answer yet.
     Sent,
     // The log may have them; the same bytes go again at the given time.
@@ -36,10 +36,10 @@
     queue: Vec<Body>,
     group: Vec<Body>,
     bytes: Vec<Vec<u8>>,
-    flight: Option<Flight>,
+    append_state: Option<AppendState>,
     ticket: u64,
     // Whether an earlier append of the group may still take effect.
-    doubtful: bool,
+    uncertain: bool,
     // No append before this time, after the log took nothing.
     pause_until: Option<Instant>,
 }
@@ -53,9 +53,9 @@
             queue: Vec::new(),
             group: Vec::new(),
             bytes: Vec::new(),
-            flight: None,
+            append_state: None,
             ticket: 0,
-            doubtful: false,
+            uncertain: false,
             pause_until: None,
         }
     }
@@ -63,7 +63,7 @@
     /// Returns whether all records are appended and applied here; only then may anything be
     /// planned from the state.
     pub(crate) fn is_idle(&self) -> bool {
-        self.flight.is_none() && self.queue.is_empty()
+        self.append_state.is_none() && self.queue.is_empty()
     }
 
     pub(crate) fn push(&mut self, body: Body) {
@@ -72,16 +72,16 @@
 
     /// Returns the next append; `next` is the first offset not yet applied.
     pub(crate) fn tick(&mut self, now: Instant, next: Offset, tickets: &mut u64) -> Option<Action> {
-        match self.flight {
-            Some(Flight::Appended(last)) if next > last => self.flight = None,
-            Some(Flight::Unknown(at)) if now >= at => {
-                self.flight = Some(Flight::Sent);
+        match self.append_state {
+            Some(AppendState::Appended(last)) if next > last => self.append_state = None,
+            Some(AppendState::Unknown(at)) if now >= at => {
+                self.append_state = Some(AppendState::Sent);
                 return Some(self.append());
             }
             _ => {}
         }
         let pausing = self.pause_until.is_some_and(|until| now < until);
-        if self.flight.is_some() || self.queue.is_empty() || pausing {
+        if self.append_state.is_some() || self.queue.is_empty() || pausing {
             return None;
         }
         let count = self.queue.len().min(MAX_GROUP);
@@ -94,8 +94,8 @@
         }
         *tickets += 1;
         self.ticket = *tickets;
-        self.doubtful = false;
-        self.flight = Some(Flight::Sent);
+        self.uncertain = false;
+        self.append_state = Some(AppendState::Sent);
         Some(self.append())
     }
 
@@ -106,35 +106,35 @@
         ticket: u64,
         result: Result<Offset, AppendError>,
     ) -> bool {
-        if ticket != self.ticket || !matches!(self.flight, Some(Flight::Sent)) {
+        if ticket != self.ticket || !matches!(self.append_state, Some(AppendState::Sent)) {
             return false;
         }
         match result {
             Ok(first) => {
                 let last = first + self.bytes.len() as Offset - 1;
-                self.flight = Some(Flight::Appended(last));
+                self.append_state = Some(AppendState::Appended(last));
                 false
             }
             // What was refused this time may have been taken the time before.
-            Err(AppendError::NotAppended) if !self.doubtful => {
-                self.flight = None;
+            Err(AppendError::NotAppended) if !self.uncertain => {
+                self.append_state = None;
                 self.pause_until = Some(now + RETRY_PAUSE);
-                self.keep_facts();
+                self.keep_observations();
                 true
             }
             Err(_) => {
-                self.doubtful = true;
-                self.flight = Some(Flight::Unknown(now + RETRY_PAUSE));
+                self.uncertain = true;
+                self.append_state = Some(AppendState::Unknown(now + RETRY_PAUSE));
                 false
             }
         }
     }
 
     // Plans are made anew from the state; only a crash that was seen can't be derived again.
-    fn keep_facts(&mut self) {
-        let facts = self.group.drain(..).chain(self.queue.drain(..));
-        let facts = facts.filter(|body| matches!(body, Body::Suspect(_)));
-        self.queue = facts.collect();
+    fn keep_observations(&mut self) {
+        let observations = self.group.drain(..).chain(self.queue.drain(..));
+        let observations = observations.filter(|body| matches!(body, Body::Suspect(_)));
+        self.queue = observations.collect();
     }
 
     fn append(&self) -> Action {
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -1,8 +1,8 @@
 //! The node: routes events between the concerns and queues actions.
 
-mod claiming;
-mod duties;
-mod ending;
+mod coordination;
+mod failures;
+mod idempotency;
 mod peers;
 mod serving;
 
@@ -23,22 +23,22 @@
     InstanceId, Map, ModelId, Offset, OrgId, RequestId, Shard, rendezvous_rank, shard_of,
 };
 
-use crate::claim_desk::ClaimDesk;
-use crate::claim_holder::ClaimHolder;
+use crate::claim_client::ClaimClient;
+use crate::claim_coordinator::ClaimCoordinator;
 use crate::fleet::Fleet;
 use crate::log_writer::LogWriter;
-use crate::order_desk::OrderDesk;
+use crate::order_manager::OrderManager;
 use crate::requests::RequestTable;
-use crate::server_desk::ServerDesk;
-use crate::token_desk::TokenDesk;
+use crate::server_registry::ServerRegistry;
+use crate::token_manager::TokenManager;
 use crate::{Action, InstanceStatus, NodeSettings};
 
 /// Records kept for peers that can't reach the log.
-const MAX_RECENT: usize = 4096;
+const MAX_RECENT_RECORDS: usize = 4096;
 /// Time between two plans while nothing happens.
 const PLAN_PERIOD: Duration = Duration::from_millis(200);
 /// Time for which told demand counts, in demand periods.
-const DEMAND_LIFETIME: u32 = 8;
+const DEMAND_PERIODS: u32 = 8;
 
 /// Decisions of one entry instance.
 ///
@@ -53,23 +53,23 @@
     state: State,
     fleet: Fleet,
     writer: LogWriter,
-    tokens: TokenDesk,
+    tokens: TokenManager,
     queue: FairQueue,
-    waits: Map<ModelId, WaitEstimate>,
+    wait_estimates: Map<ModelId, WaitEstimate>,
     requests: RequestTable,
     router: Router,
-    budgets: Map<(OrgId, ModelId), RetryBudget>,
-    claims: ClaimDesk,
-    claim_holder: ClaimHolder,
-    servers: ServerDesk,
-    orders: OrderDesk,
+    retry_budgets: Map<(OrgId, ModelId), RetryBudget>,
+    claim_client: ClaimClient,
+    claim_coordinator: ClaimCoordinator,
+    servers: ServerRegistry,
+    orders: OrderManager,
     demand: DemandTable,
     planner: Planner,
-    recent: VecDeque<(Offset, Vec<u8>)>,
+    recent_records: VecDeque<(Offset, Vec<u8>)>,
     snapshot: Assembler,
     tickets: u64,
     // When the keys in force were last known for certain.
-    keys_known: Instant,
+    keys_confirmed: Instant,
     // Whether the state has once reached the end of the log or a peer's snapshot.
     caught_up: bool,
     was_ready: bool,
@@ -77,7 +77,7 @@
     member_states: Map<InstanceId, MemberState>,
     next_plan: Instant,
     next_demand: Instant,
-    next_help: Instant,
+    next_catch_up: Instant,
     checkpointed: Offset,
     inbox: VecDeque<Envelope>,
     actions: Vec<Action>,
@@ -93,29 +93,29 @@
             state: State::new(settings.genesis.clone()),
             fleet,
             writer: LogWriter::new(settings.id.clone(), settings.incarnation),
-            tokens: TokenDesk::new(settings.token_term),
+            tokens: TokenManager::new(settings.token_term),
             queue: FairQueue::new(settings.max_waiting),
-            waits: Map::default(),
+            wait_estimates: Map::default(),
             requests: RequestTable::default(),
             router: Router::new(settings.zone.clone()),
-            budgets: Map::default(),
-            claims: ClaimDesk::default(),
-            claim_holder: ClaimHolder::default(),
-            servers: ServerDesk::new(settings.report_period, settings.server_timeout),
-            orders: OrderDesk::new(settings.load_timeout),
-            demand: DemandTable::new(settings.demand_period * DEMAND_LIFETIME),
+            retry_budgets: Map::default(),
+            claim_client: ClaimClient::default(),
+            claim_coordinator: ClaimCoordinator::default(),
+            servers: ServerRegistry::new(settings.report_period, settings.server_timeout),
+            orders: OrderManager::new(settings.load_timeout),
+            demand: DemandTable::new(settings.demand_period * DEMAND_PERIODS),
             planner: Planner::default(),
-            recent: VecDeque::new(),
+            recent_records: VecDeque::new(),
             snapshot: Assembler::default(),
             tickets: 0,
-            keys_known: now,
+            keys_confirmed: now,
             caught_up: false,
             was_ready: false,
             last_view: "",
             member_states: Map::default(),
             next_plan: now,
             next_demand: now,
-            next_help: now,
+            next_catch_up: now,
             checkpointed: 0,
             inbox: VecDeque::new(),
             actions: Vec::new(),
@@ -145,19 +145,19 @@
 
     /// Returns whether callers may be sent here.
     pub fn is_ready(&self, now: Instant) -> bool {
-        !self.fleet.is_leaving() && self.knows_keys(now)
+        !self.fleet.is_leaving() && self.can_check_keys(now)
     }
 
     /// Returns whether the keys in force are known well enough to serve callers.
     ///
     /// With the log out for everyone nothing can have been withdrawn. When only most members say
     /// so, the rest may have the log, and the answer holds for a limited time.
-    pub(crate) fn knows_keys(&self, now: Instant) -> bool {
+    pub(crate) fn can_check_keys(&self, now: Instant) -> bool {
         let grace = self.settings.key_grace;
         self.caught_up
             && match self.view(now) {
                 View::Fresh { .. } | View::Outage { complete: true, .. } => true,
-                View::Outage { .. } => now < self.keys_known + grace,
+                View::Outage { .. } => now < self.keys_confirmed + grace,
                 View::CutOff => false,
             }
     }
@@ -170,8 +170,8 @@
     /// Returns whether nothing is left to do for a draining instance.
     pub fn is_drained(&self) -> bool {
         let is_alone = self.fleet.any_peer().is_none();
-        let has_duties = !is_alone && !self.fleet.own_shards().is_empty();
-        self.requests.len() == 0 && self.claims.ends() == 0 && !has_duties
+        let holds_shards = !is_alone && !self.fleet.own_shards().is_empty();
+        self.requests.len() == 0 && self.claim_client.unrecorded() == 0 && !holds_shards
     }
 
     /// Returns whether this instance may act on a duty shard right now.
@@ -197,14 +197,14 @@
     /// Takes the platform's list of backend servers.
     pub fn on_servers(&mut self, now: Instant, list: Vec<crate::ListedServer>) {
         self.servers.set_list(list);
-        self.pump(now);
+        self.dispatch_queued(now);
     }
 
     /// Begins to drain: hands over duties and takes no new ones.
     pub fn leave(&mut self, now: Instant) {
         if !self.fleet.is_leaving() {
-            let news = self.fleet.leave(now, self.state.next());
-            for (to, envelope) in news {
+            let messages = self.fleet.leave(now, self.state.next());
+            for (to, envelope) in messages {
                 self.actions.push(Action::Send { to, envelope });
             }
             self.event(now, Event::new(EventKind::InstanceLeaving));
@@ -224,17 +224,17 @@
             Ok(batch) => batch,
             Err(ReadError::Expired(first)) => return first > self.state.next(),
             Err(ReadError::Unreachable) => {
-                self.ask_for_help(now);
+                self.request_catch_up(now);
                 return false;
             }
         };
         let reaches_end = batch.reaches_end();
-        let brings_news = !batch.records.is_empty();
+        let has_records = !batch.records.is_empty();
         self.apply_records(now, batch.first, batch.records);
         let next = self.state.next();
-        self.fleet.note_log_read(began, next, reaches_end);
+        self.fleet.on_log_read(began, next, reaches_end);
         self.caught_up |= reaches_end;
-        if brings_news {
+        if has_records {
             self.after_apply(now);
         }
         false
@@ -255,8 +255,8 @@
             Ok(state) if state.next() > self.state.next() => {
                 self.state = state;
                 self.checkpointed = self.state.next();
-                self.recent.clear();
-                self.fleet.note_applied(self.state.next());
+                self.recent_records.clear();
+                self.fleet.set_applied(self.state.next());
                 self.after_apply(now);
                 true
             }
@@ -266,11 +266,11 @@
 
     /// Takes the outcome of an append.
     pub fn on_appended(&mut self, now: Instant, ticket: u64, result: Result<Offset, AppendError>) {
-        self.claim_holder.on_appended(now, ticket, result);
+        self.claim_coordinator.on_appended(now, ticket, result);
         if self.writer.on_appended(now, ticket, result) {
             self.fleet.restore();
         }
-        self.run_claims(now);
+        self.drive_claims(now);
         self.flush(now);
     }
 
@@ -281,8 +281,8 @@
         stream: &str,
         result: Result<LogBatch, ReadError>,
     ) {
-        self.claim_holder.on_read(now, stream, result);
-        self.run_claims(now);
+        self.claim_coordinator.on_read(now, stream, result);
+        self.drive_claims(now);
         self.flush(now);
     }
 
@@ -293,23 +293,23 @@
             self.actions.push(Action::Send { to, envelope });
         }
         self.fleet.refresh(now, &self.state);
-        self.note_views(now);
-        self.run_duties(now);
-        self.run_tokens(now);
-        self.run_claims(now);
+        self.track_view(now);
+        self.run_coordination(now);
+        self.request_tokens(now);
+        self.drive_claims(now);
         self.expire_requests(now);
-        self.tell_demand(now);
-        self.pump(now);
+        self.send_demand(now);
+        self.dispatch_queued(now);
         self.flush(now);
     }
 
     /// Returns the standing of this instance on a shard.
-    pub(crate) fn standing(&self, now: Instant, shard: Shard) -> Standing {
-        self.fleet.standing(now, shard)
+    pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> Standing {
+        self.fleet.lease_state(now, shard)
     }
 
     /// Returns the requests waiting and running for a model, as told to its holder.
-    pub(crate) fn demand_of(&self, now: Instant, model: &str) -> (u32, u32) {
+    pub(crate) fn model_demand(&self, now: Instant, model: &str) -> (u32, u32) {
         let waiting = self.demand.waiting(now, model);
         (waiting, self.demand.running(now, model))
     }
@@ -336,7 +336,7 @@
             contact_ms: contact.map(|age| age.as_millis() as u64),
             next_offset: self.state.next(),
             requests: self.requests.len(),
-            claims: self.claim_holder.claims(),
+            claims: self.claim_coordinator.claims(),
             members: self.fleet.membership().all().map(member).collect(),
         }
     }
@@ -347,13 +347,13 @@
     /// instances.
     pub fn ranked_instances(&self, now: Instant, zone: &str, affinity: &str) -> Vec<InstanceId> {
         let item = u64::from(shard_of(affinity, Shard::MAX));
-        let mut open = self.fleet.open_members();
+        let mut open = self.fleet.ready_members();
         if !self.is_ready(now) {
             open.retain(|(id, _)| *id != self.settings.id);
         }
         open.sort_by_key(|(id, member_zone)| {
-            let away = member_zone != zone;
-            (away, std::cmp::Reverse(rendezvous_rank(item, id)))
+            let is_remote = member_zone != zone;
+            (is_remote, std::cmp::Reverse(rendezvous_rank(item, id)))
         });
         open.into_iter().map(|(id, _)| id).collect()
     }
@@ -368,10 +368,10 @@
                 continue;
             }
             let outcome = self.state.apply_bytes(offset, &bytes);
-            self.note_record(now, offset, &bytes, outcome);
-            self.recent.push_back((offset, bytes));
-            if self.recent.len() > MAX_RECENT {
-                self.recent.pop_front();
+            self.on_record(now, offset, &bytes, outcome);
+            self.recent_records.push_back((offset, bytes));
+            if self.recent_records.len() > MAX_RECENT_RECORDS {
+                self.recent_records.pop_front();
             }
         }
     }
@@ -380,10 +380,10 @@
         self.fleet.refresh(now, &self.state);
         self.orders.retain(now, &self.state);
         self.servers.retain(&self.state);
-        self.pump(now);
+        self.dispatch_queued(now);
         // What the records call for, such as the order that follows a decision, is done at once.
         self.next_plan = now;
-        self.run_duties(now);
+        self.run_coordination(now);
         self.flush(now);
     }
 
@@ -423,13 +423,13 @@
         format!("{id}/{incarnation}/{request}")
     }
 
-    fn note_views(&mut self, now: Instant) {
+    fn track_view(&mut self, now: Instant) {
         let view = self.view(now);
         if matches!(
             view,
             View::Fresh { .. } | View::Outage { complete: true, .. }
         ) {
-            self.keys_known = now;
+            self.keys_confirmed = now;
         }
         let view = view.name();
         if view != self.last_view {
@@ -462,7 +462,7 @@
         }
     }
 
-    fn note_record(
+    fn on_record(
         &mut self,
         now: Instant,
         offset: Offset,
@@ -493,7 +493,7 @@
             }
             Some(Body::Settle(settle)) => {
                 let kind = if self.state.ledger().replica(settle.replica).is_some() {
-                    self.orders.note_loaded(now, settle.replica);
+                    self.orders.reset_first_seen(now, settle.replica);
                     EventKind::ReplicaLoaded
                 } else {
                     EventKind::ReplicaGone
--- a/crates/apricotwell_node/src/node/duties.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -12,7 +12,7 @@
 use apricotwell_types::{ServerId, Set, shard_of};
 
 use super::{Node, PLAN_PERIOD};
-use crate::order_desk::OrderView;
+use crate::order_manager::OrderView;
 use crate::{Action, OrderKind, OrderOutcome, ServerReport};
 
 /// Part of the log's retention after which claims are written anew.
@@ -38,9 +38,9 @@
             let event = Event::new(EventKind::ServerCrashed).with_server(server.to_string());
             self.event(now, event);
         }
-        self.release_cooling(now, server);
+        self.resume_checked(now, server);
         self.next_plan = now;
-        self.pump(now);
+        self.dispatch_queued(now);
         self.flush(now);
     }
 
@@ -65,11 +65,11 @@
         let event = Event::new(EventKind::OrderEnded).with_replica(replica);
         self.event(now, event.with_detail(detail));
         self.next_plan = now;
-        self.run_duties(now);
+        self.run_coordination(now);
         self.flush(now);
     }
 
-    pub(super) fn run_duties(&mut self, now: Instant) {
+    pub(super) fn run_coordination(&mut self, now: Instant) {
         if now < self.next_plan {
             return;
         }
@@ -80,9 +80,9 @@
         // A bucket outlives a lapse of the view: made anew within its term it would be too full.
         let fence_of = |org: &str| fleet.recorded_fence(state, shard_of(org, shards));
         self.tokens.retain(now, fence_of);
-        self.hold_claims(now);
+        self.keep_claims_open(now);
         self.poll_servers(now);
-        self.order_replicas(now);
+        self.send_orders(now);
         if self.writer.is_idle() && self.fleet.reaches_log(now) {
             self.write_records(now);
         }
@@ -90,11 +90,11 @@
 
     // Every held claim shard is kept open, so that its claims are written anew before the log
     // drops them, whether or not anybody asks.
-    fn hold_claims(&mut self, now: Instant) {
+    fn keep_claims_open(&mut self, now: Instant) {
         let period = self.settings.log_retention / REPUBLISH_DIVISOR;
         for shard in self.fleet.own_shards() {
             if let Some(fence) = self.fleet.fence(now, shard) {
-                self.claim_holder.hold(now, shard, fence, period);
+                self.claim_coordinator.keep_open(now, shard, fence, period);
             }
         }
     }
@@ -173,11 +173,11 @@
             steps.extend(fence.map(|fence| Step::Retire { replica, fence }));
         }
         for step in steps {
-            self.take_step(now, step);
+            self.apply_step(now, step);
         }
     }
 
-    fn take_step(&mut self, now: Instant, step: Step) {
+    fn apply_step(&mut self, now: Instant, step: Step) {
         match step {
             Step::Decide {
                 model,
@@ -199,11 +199,11 @@
             Step::Retire { replica, fence } => {
                 self.writer.push(Body::Retire(Retire { replica, fence }));
             }
-            Step::Reclaim { replica } => self.ask_to_reclaim(now, replica),
+            Step::Reclaim { replica } => self.request_reclaim(now, replica),
         }
     }
 
-    fn ask_to_reclaim(&mut self, now: Instant, replica: u64) {
+    fn request_reclaim(&mut self, now: Instant, replica: u64) {
         let Some(record) = self.state.ledger().replica(replica) else {
             return;
         };
@@ -226,7 +226,7 @@
         self.planner.may_reclaim(now, &view, replica)
     }
 
-    fn order_replicas(&mut self, now: Instant) {
+    fn send_orders(&mut self, now: Instant) {
         let fleet = &self.fleet;
         let state = &self.state;
         let shards = self.settings.genesis.shards;
@@ -237,26 +237,26 @@
             state,
             servers: &self.servers,
         };
-        let mut orders = self.orders.orders(&view, tickets, term_of);
+        let mut orders = self.orders.due_orders(&view, tickets, term_of);
         let is_held = |id: &ServerId| fleet.fence(now, shard_of(id, shards)).is_some();
-        for orphan in self.servers.orphans(state, is_held) {
-            let term = fleet.term(now, shard_of(&orphan.0, shards));
-            let report = self.servers.report(&orphan.0);
+        for unknown in self.servers.unknown_replicas(state, is_held) {
+            let term = fleet.term(now, shard_of(&unknown.0, shards));
+            let report = self.servers.report(&unknown.0);
             if let (Some(term), Some((_, report))) = (term, report) {
                 let incarnation = report.incarnation;
                 let order =
                     self.orders
-                        .unload_orphan(now, state, orphan, incarnation, &term, tickets);
+                        .unload_unknown(now, state, unknown, incarnation, &term, tickets);
                 orders.extend(order);
             }
         }
         for order in orders {
-            self.note_order(now, &order);
+            self.record_order(now, &order);
             self.actions.push(order);
         }
     }
 
-    fn note_order(&mut self, now: Instant, action: &Action) {
+    fn record_order(&mut self, now: Instant, action: &Action) {
         if let Action::Order { server, order, .. } = action {
             let event = Event::new(EventKind::OrderSent)
                 .with_server(server.to_string())
@@ -281,13 +281,13 @@
             .map(|model| model.pool.as_str())
             .collect();
         let orders = &self.orders;
-        let wanted = |id: &ServerId| {
+        let is_watched = |id: &ServerId| {
             let pool = state.ledger().server(id).map(|server| server.pool.as_str());
             fleet.fence(now, shard_of(id, shards)).is_some()
                 || orders.watches(state, id)
                 || pool.is_some_and(|pool| pools.contains(&pool))
         };
-        for (server, address) in self.servers.polls(now, state, wanted) {
+        for (server, address) in self.servers.polls(now, state, is_watched) {
             self.actions.push(Action::Poll { server, address });
         }
     }
--- a/crates/apricotwell_node/src/node/ending.rs
+++ b/crates/apricotwell_node/src/node/failures.rs
@@ -15,7 +15,7 @@
 const CRASH_CHECK: Duration = Duration::from_millis(1500);
 
 impl Node {
-    pub(super) fn after_failure(
+    pub(super) fn retry_or_fail(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -37,15 +37,15 @@
         if broken && is_engine {
             let incarnation = self.state.ledger().server(server);
             let incarnation = incarnation.map(|record| record.incarnation);
-            self.servers.suspect(server, body, incarnation);
+            self.servers.suspect_crash(server, body, incarnation);
             self.next_plan = now;
         }
         let may_retry = class.is_repeatable()
             && !end.is_partial()
             && attempts < self.settings.max_attempts
-            && self.budgets.entry(key).or_default().withdraw();
+            && self.retry_budgets.entry(key).or_default().withdraw();
         if !may_retry {
-            self.end_failed(now, id, end);
+            self.fail(now, id, end);
             return;
         }
         let event = Event::new(EventKind::RequestRetried).with_request(self.request_name(id));
@@ -53,17 +53,17 @@
         if broken && is_engine {
             let until = now + CRASH_CHECK;
             if let Some(request) = self.requests.get_mut(id) {
-                request.stage = Stage::Cooling {
+                request.stage = Stage::CheckingCrash {
                     server: server.clone(),
                     until,
                 };
             }
         } else {
-            self.enqueue_free(now, id);
+            self.enqueue(now, id);
         }
     }
 
-    pub(super) fn end_failed(&mut self, now: Instant, id: RequestId, end: &AttemptOutcome) {
+    pub(super) fn fail(&mut self, now: Instant, id: RequestId, end: &AttemptOutcome) {
         let ending = end.ending().unwrap_or(Ending::OutcomeUnknown);
         let message = match end {
             AttemptOutcome::Failed => "the backend server ran the request and failed",
@@ -82,32 +82,32 @@
 
     pub(super) fn expire_requests(&mut self, now: Instant) {
         for entry in self.queue.expire(now) {
-            self.refuse_late(now, entry.request);
+            self.refuse_expired(now, entry.request);
         }
         let late: Vec<(RequestId, bool)> = self
             .requests
             .iter()
             .filter_map(|(id, request)| match request.stage {
-                Stage::Tokens if now >= request.submission.deadline => Some((id, true)),
-                Stage::Cooling { until, .. } if now >= until => Some((id, false)),
+                Stage::AwaitingTokens if now >= request.submission.deadline => Some((id, true)),
+                Stage::CheckingCrash { until, .. } if now >= until => Some((id, false)),
                 _ => None,
             })
             .collect();
         for (id, is_late) in late {
             if is_late {
-                self.refuse_late(now, id);
+                self.refuse_expired(now, id);
             } else {
-                self.enqueue_free(now, id);
+                self.enqueue(now, id);
             }
         }
     }
 
-    pub(super) fn refuse_late(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn refuse_expired(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let message = match request.stage {
-            Stage::Tokens => {
+            Stage::AwaitingTokens => {
                 "no tokens could be had before the deadline; allow more time or come back later"
             }
             _ => {
@@ -118,7 +118,7 @@
         self.refuse(now, id, refusal.with_retry_after(BUSY_RETRY));
     }
 
-    pub(super) fn refuse_over_rate(&mut self, now: Instant, id: RequestId, wait: Duration) {
+    pub(super) fn refuse_rate_limited(&mut self, now: Instant, id: RequestId, wait: Duration) {
         let message = format!(
             "your organisation is over its rate; the tokens are there in about {} ms",
             wait.as_millis()
@@ -159,23 +159,23 @@
             return;
         };
         match &request.stage {
-            Stage::Tokens => self.tokens.forget(&request.submission.org, id),
+            Stage::AwaitingTokens => self.tokens.forget(&request.submission.org, id),
             Stage::Queued => {
                 self.queue.remove(id, request.submission.deadline);
             }
             Stage::Claiming { server } => {
-                self.claims.give_up(&request.attempt);
+                self.claim_client.cancel(&request.attempt);
                 self.router.release(server);
             }
-            Stage::Running { .. } | Stage::Cooling { .. } => {}
+            Stage::Running { .. } | Stage::CheckingCrash { .. } => {}
         }
         if let (true, Some(ending)) = (request.claimed, ending) {
-            self.tell_outcome(now, id, &Outcome::Ended(ending));
+            self.report_outcome(now, id, &Outcome::Ended(ending));
         }
-        self.forget_request(id, used);
+        self.remove_request(id, used);
     }
 
-    pub(super) fn forget_request(&mut self, id: RequestId, used: u64) {
+    pub(super) fn remove_request(&mut self, id: RequestId, used: u64) {
         let Some(request) = self.requests.remove(id) else {
             return;
         };
--- a/crates/apricotwell_node/src/node/claiming.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -9,11 +9,11 @@
 use super::Node;
 use super::serving::BUSY_RETRY;
 use crate::Action;
-use crate::claim_desk::ClaimResult;
+use crate::claim_client::ClaimResult;
 use crate::requests::Stage;
 
 impl Node {
-    pub(super) fn ask_claim(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn request_claim(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -23,11 +23,12 @@
         let Some(shard) = self.claim_shard(&key.0) else {
             return;
         };
-        let give_up = now + self.settings.claim_wait;
-        let give_up = give_up.min(request.submission.deadline);
+        let deadline = now + self.settings.claim_wait;
+        let deadline = deadline.min(request.submission.deadline);
         let (body, attempt) = (request.submission.body_digest, request.attempt.clone());
-        self.claims.ask(id, shard, key, body, &attempt, give_up);
-        self.run_claims(now);
+        self.claim_client
+            .request(id, shard, key, body, &attempt, deadline);
+        self.drive_claims(now);
     }
 
     pub(super) fn on_claim_result(&mut self, now: Instant, id: RequestId, result: ClaimResult) {
@@ -51,7 +52,7 @@
                 let name = self.request_name(id);
                 let event = Event::new(EventKind::AnswerReplayed).with_request(name);
                 self.event(now, event);
-                self.forget_request(id, 0);
+                self.remove_request(id, 0);
                 let request = id;
                 self.actions.push(Action::Replay { request, answer });
                 return;
@@ -73,7 +74,7 @@
             ),
             ClaimResult::Unavailable => {
                 let attempt = request.attempt.clone();
-                self.claims.give_up(&attempt);
+                self.claim_client.cancel(&attempt);
                 Refusal::not_run(
                     RefusalKind::ClaimUnavailable,
                     "the request could not be claimed, so it was not run; repeat it with the same \
@@ -91,7 +92,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        if let Some(refusal) = self.check_again(&request.submission) {
+        if let Some(refusal) = self.recheck(&request.submission) {
             self.router.release(&server);
             self.refuse(now, id, refusal);
             return;
@@ -105,12 +106,12 @@
             Some((_, replica)) => self.dispatch(now, id, server, *replica),
             None => {
                 self.router.release(&server);
-                self.enqueue_free(now, id);
+                self.enqueue(now, id);
             }
         }
     }
 
-    pub(super) fn tell_outcome(&mut self, now: Instant, id: RequestId, outcome: &Outcome) {
+    pub(super) fn report_outcome(&mut self, now: Instant, id: RequestId, outcome: &Outcome) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -119,8 +120,9 @@
         };
         let attempt = request.attempt.clone();
         if let Some(shard) = self.claim_shard(&key.0) {
-            self.claims.finish(shard, key, &attempt, outcome);
-            self.run_claims(now);
+            self.claim_client
+                .report_outcome(shard, key, &attempt, outcome);
+            self.drive_claims(now);
         }
     }
 }
--- a/crates/apricotwell_node/src/node/peers.rs
+++ b/crates/apricotwell_node/src/node/peers.rs
@@ -13,12 +13,12 @@
 
 use super::Node;
 use crate::Action;
-use crate::token_desk::TokenVerdict;
+use crate::token_manager::TokenVerdict;
 
 /// Pause between two requests for help from peers.
-const HELP_PERIOD: Duration = Duration::from_millis(500);
+const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
 /// Records in one reply to a peer.
-const MAX_PASSED: usize = 512;
+const MAX_REPLY_RECORDS: usize = 512;
 
 impl Node {
     /// Takes a message from a peer whose identity the shell has checked.
@@ -37,41 +37,41 @@
         };
         let from: InstanceId = sender.id.as_str().into();
         match envelope.body {
-            Some(Message::TokenAsk(ask)) => self.answer_token_ask(now, &from, &ask),
-            Some(Message::TokenGrant(grant)) => self.take_grant(now, &grant),
+            Some(Message::TokenAsk(request)) => self.on_token_request(now, &from, &request),
+            Some(Message::TokenGrant(grant)) => self.on_token_grant(now, &grant),
             Some(Message::BucketState(state)) => self.tokens.on_bucket_state(&state),
             Some(Message::Demand(demand)) => {
                 for item in demand.items {
-                    let told = Use {
+                    let usage = Use {
                         waiting: item.waiting,
                         running: item.running,
                         deadline: now + Duration::from_millis(item.slack_ms),
                     };
-                    self.demand.note(now, &item.model, &from, told);
+                    self.demand.note(now, &item.model, &from, usage);
                 }
                 self.next_plan = now;
-                self.run_duties(now);
+                self.run_coordination(now);
             }
-            Some(Message::Reclaim(reclaim)) => self.reclaim(now, reclaim.replica),
-            Some(Message::ClaimAsk(ask)) => self.take_claim_ask(now, from, ask),
-            Some(Message::ClaimFinish(finish)) => self.take_claim_finish(now, from, finish),
+            Some(Message::Reclaim(reclaim)) => self.on_reclaim(now, reclaim.replica),
+            Some(Message::ClaimAsk(request)) => self.on_claim_request(now, from, request),
+            Some(Message::ClaimFinish(finish)) => self.on_claim_finish(now, from, finish),
             Some(Message::ClaimReply(reply)) => {
-                if let Some((request, result)) = self.claims.on_reply(&reply) {
+                if let Some((request, result)) = self.claim_client.on_reply(&reply) {
                     self.on_claim_result(now, request, result);
                 }
             }
             Some(Message::ClaimFinished(ClaimFinished { attempt })) => {
-                self.claims.on_finished(&attempt);
+                self.claim_client.on_outcome_recorded(&attempt);
             }
-            Some(Message::RecordsAsk(ask)) => self.pass_records(now, &from, ask),
+            Some(Message::RecordsAsk(request)) => self.send_records(now, &from, request),
             Some(Message::RecordsReply(reply)) => {
                 self.apply_records(now, reply.first, reply.records);
-                let told = envelope.evidence.map(|evidence| evidence.next);
-                self.caught_up |= told.is_some_and(|next| self.state.next() >= next);
-                self.fleet.note_applied(self.state.next());
+                let peer_next = envelope.evidence.map(|evidence| evidence.next);
+                self.caught_up |= peer_next.is_some_and(|next| self.state.next() >= next);
+                self.fleet.set_applied(self.state.next());
                 self.after_apply(now);
             }
-            Some(Message::SnapshotAsk(_)) => self.pass_snapshot(now, &from),
+            Some(Message::SnapshotAsk(_)) => self.send_snapshot(now, &from),
             Some(Message::SnapshotChunk(chunk)) => {
                 if self.on_checkpoint_chunk(now, &chunk.chunk) {
                     self.caught_up = true;
@@ -81,48 +81,50 @@
         }
     }
 
-    fn answer_token_ask(
+    fn on_token_request(
         &mut self,
         now: Instant,
         from: &InstanceId,
-        ask: &apricotwell_messages::TokenAsk,
+        request: &apricotwell_messages::TokenAsk,
     ) {
-        let shard = shard_of(&ask.org, self.settings.genesis.shards);
-        let Some(tenure) = self.fleet.tenure(now, &self.state, shard) else {
+        let shard = shard_of(&request.org, self.settings.genesis.shards);
+        let Some(term_start) = self.fleet.term_start(now, &self.state, shard) else {
             return;
         };
-        let Some(org) = self.state.org(&ask.org) else {
+        let Some(org) = self.state.org(&request.org) else {
             return;
         };
         let rate = apricotwell_limits::Rate {
             per_second: org.rate,
             burst: org.burst,
         };
-        if let Some(grant) = self.tokens.on_ask(now, from, ask, rate, tenure) {
+        if let Some(grant) = self.tokens.on_request(now, from, request, rate, term_start) {
             self.send(now, from, Message::TokenGrant(grant));
         }
     }
 
-    fn take_grant(&mut self, now: Instant, grant: &TokenGrant) {
-        let patience = self.settings.token_wait;
-        let verdicts = self.tokens.on_grant(now, grant, patience);
+    fn on_token_grant(&mut self, now: Instant, grant: &TokenGrant) {
+        let max_wait = self.settings.token_wait;
+        let verdicts = self.tokens.on_grant(now, grant, max_wait);
         let mut queued = Vec::new();
         for verdict in verdicts {
             match verdict {
                 TokenVerdict::Taken(request, reservation) => {
-                    self.enqueue(now, request, reservation);
+                    self.enqueue_reserved(now, request, reservation);
                     queued.push(request);
                 }
-                TokenVerdict::Refused(request, wait) => self.refuse_over_rate(now, request, wait),
+                TokenVerdict::Refused(request, wait) => {
+                    self.refuse_rate_limited(now, request, wait)
+                }
             }
         }
-        self.pump(now);
+        self.dispatch_queued(now);
         for request in queued {
-            self.tell_first_demand(now, request);
+            self.send_first_demand(now, request);
         }
     }
 
-    fn reclaim(&mut self, now: Instant, replica: u64) {
+    fn on_reclaim(&mut self, now: Instant, replica: u64) {
         let Some(record) = self.state.ledger().replica(replica).cloned() else {
             return;
         };
@@ -137,26 +139,28 @@
         self.writer.push(apricotwell_records::Body::Retire(retire));
     }
 
-    fn take_claim_ask(
+    fn on_claim_request(
         &mut self,
         now: Instant,
         from: InstanceId,
-        ask: apricotwell_messages::ClaimAsk,
+        request: apricotwell_messages::ClaimAsk,
     ) {
-        let Some(shard) = self.claim_shard(&ask.key) else {
+        let Some(shard) = self.claim_shard(&request.key) else {
             return;
         };
         match self.fleet.fence(now, shard) {
             Some(fence) => {
-                let reply = self.claim_holder.on_ask(now, shard, fence, from, ask);
+                let reply = self
+                    .claim_coordinator
+                    .on_claim(now, shard, fence, from, request);
                 if let Some((to, message)) = reply {
                     self.send(now, &to, message);
                 }
-                self.run_claims(now);
+                self.drive_claims(now);
             }
             None => {
                 let reply = apricotwell_messages::ClaimReply {
-                    attempt: ask.attempt,
+                    attempt: request.attempt,
                     verdict: apricotwell_messages::ClaimVerdict::NotHolder as i32,
                     finished: None,
                 };
@@ -165,7 +169,7 @@
         }
     }
 
-    fn take_claim_finish(
+    fn on_claim_finish(
         &mut self,
         now: Instant,
         from: InstanceId,
@@ -176,8 +180,8 @@
             return;
         };
         if let Some(fence) = self.fleet.fence(now, shard) {
-            self.claim_holder.on_finish(shard, fence, from, finish);
-            self.run_claims(now);
+            self.claim_coordinator.on_finish(shard, fence, from, finish);
+            self.drive_claims(now);
         }
     }
 
@@ -188,20 +192,21 @@
     }
 
     // Serves claims as holder and as asker.
-    pub(super) fn run_claims(&mut self, now: Instant) {
+    pub(super) fn drive_claims(&mut self, now: Instant) {
         let wall = self.wall(now);
         let memory = self.settings.claim_retention;
         let fleet = &self.fleet;
-        self.claim_holder.retain(|shard| fleet.fence(now, shard));
-        let is_gone = |attempt: &str| fleet.is_gone(attempt);
+        self.claim_coordinator
+            .retain(|shard| fleet.fence(now, shard));
+        let has_ended = |attempt: &str| fleet.has_ended(attempt);
         let (replies, actions) =
-            self.claim_holder
-                .tick(now, wall, memory, &mut self.tickets, is_gone);
+            self.claim_coordinator
+                .tick(now, wall, memory, &mut self.tickets, has_ended);
         self.actions.extend(actions);
         for (to, message) in replies {
             self.send(now, &to, message);
         }
-        let (messages, late) = self.claims.tick(now);
+        let (messages, late) = self.claim_client.tick(now);
         for (shard, message) in messages {
             let holder = self.state.lease(shard).map(|lease| lease.holder.clone());
             if let Some(holder) = holder {
@@ -209,16 +214,16 @@
             }
         }
         for request in late {
-            self.on_claim_result(now, request, crate::claim_desk::ClaimResult::Unavailable);
+            self.on_claim_result(now, request, crate::claim_client::ClaimResult::Unavailable);
         }
     }
 
     // Asks peers for what the log does not give at the moment.
-    pub(super) fn ask_for_help(&mut self, now: Instant) {
-        if now < self.next_help {
+    pub(super) fn request_catch_up(&mut self, now: Instant) {
+        if now < self.next_catch_up {
             return;
         }
-        self.next_help = now + HELP_PERIOD;
+        self.next_catch_up = now + CATCH_UP_PERIOD;
         let next = self.state.next();
         let (peer, body) = if let Some(peer) = self.fleet.peer_ahead(now) {
             let body = Message::RecordsAsk(RecordsAsk { from: next });
@@ -231,25 +236,28 @@
         self.send(now, &peer.id, body);
     }
 
-    fn pass_records(&mut self, now: Instant, to: &InstanceId, ask: RecordsAsk) {
-        let first_kept = self.recent.front().map(|(offset, _)| *offset);
-        if first_kept.is_none_or(|first| ask.from < first) {
-            self.pass_snapshot(now, to);
+    fn send_records(&mut self, now: Instant, to: &InstanceId, request: RecordsAsk) {
+        let first_recent = self.recent_records.front().map(|(offset, _)| *offset);
+        if first_recent.is_none_or(|first| request.from < first) {
+            self.send_snapshot(now, to);
             return;
         }
-        let wanted = self.recent.iter().filter(|(offset, _)| *offset >= ask.from);
-        let records = wanted
-            .take(MAX_PASSED)
+        let missing = self
+            .recent_records
+            .iter()
+            .filter(|(offset, _)| *offset >= request.from);
+        let records = missing
+            .take(MAX_REPLY_RECORDS)
             .map(|(_, bytes)| bytes.clone())
             .collect();
         let reply = RecordsReply {
-            first: ask.from,
+            first: request.from,
             records,
         };
         self.send(now, to, Message::RecordsReply(reply));
     }
 
-    fn pass_snapshot(&mut self, now: Instant, to: &InstanceId) {
+    fn send_snapshot(&mut self, now: Instant, to: &InstanceId) {
         if !self.caught_up {
             return;
         }
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -17,7 +17,7 @@
 use super::Node;
 use crate::requests::{Stage, recorded_answer};
 use crate::submission::service_pool;
-use crate::token_desk::{HolderRef, Reservation};
+use crate::token_manager::{HolderRef, Reservation};
 use crate::{Action, AttemptOutcome, Dispatch, Submission, Target};
 
 /// Pause told to callers whose request found no room.
@@ -32,7 +32,7 @@
     ///
     /// Fails when the key is not in force, or when this instance can't tell.
     pub fn authenticate(&self, now: Instant, key: &KeyDigest) -> Result<KeyHolder, Refusal> {
-        self.check_view(now)?;
+        self.check_keys(now)?;
         let holder = self.state.key(key).ok_or_else(|| {
             Refusal::not_run(
                 RefusalKind::InvalidKey,
@@ -61,7 +61,7 @@
     ///
     /// Fails with the refusal to answer at once.
     pub fn submit(&mut self, now: Instant, submission: Submission) -> Result<RequestId, Refusal> {
-        self.check_view(now)?;
+        self.check_keys(now)?;
         self.check_submission(now, &submission)?;
         let org = submission.org.clone();
         let cost = submission.cost();
@@ -72,15 +72,15 @@
             .with_org(org.to_string());
         self.event(now, event);
         if org.is_empty() || cost == 0 {
-            self.enqueue_free(now, id);
+            self.enqueue(now, id);
         } else if let Some(reservation) = self.tokens.take(now, &org, cost) {
-            self.enqueue(now, id, reservation);
+            self.enqueue_reserved(now, id, reservation);
         } else {
             self.tokens.wait(now, &org, id, class, deadline, cost);
-            self.run_tokens(now);
+            self.request_tokens(now);
         }
-        self.pump(now);
-        self.tell_first_demand(now, id);
+        self.dispatch_queued(now);
+        self.send_first_demand(now, id);
         self.flush(now);
         Ok(id)
     }
@@ -96,7 +96,7 @@
             return;
         }
         self.drop_request(now, id, 0, Some(Ending::NotRun));
-        self.pump(now);
+        self.dispatch_queued(now);
         self.flush(now);
     }
 
@@ -117,7 +117,7 @@
         if request.attempt != attempt {
             return;
         }
-        self.note_attempt_end(now, id, &server, &end);
+        self.record_attempt(now, id, &server, &end);
         match end {
             AttemptOutcome::Answered { answer, used } => {
                 self.finish_answered(now, id, answer, used)
@@ -125,10 +125,10 @@
             AttemptOutcome::ClientGone => {
                 self.drop_request(now, id, u64::MAX, Some(Ending::OutcomeUnknown));
             }
-            AttemptOutcome::NotRun { .. } => self.try_again(now, id),
-            _ => self.after_failure(now, id, &server, &end),
+            AttemptOutcome::NotRun { .. } => self.retry_not_run(now, id),
+            _ => self.retry_or_fail(now, id, &server, &end),
         }
-        self.pump(now);
+        self.dispatch_queued(now);
         self.flush(now);
     }
 
@@ -152,8 +152,8 @@
         self.flush(now);
     }
 
-    pub(super) fn check_view(&self, now: Instant) -> Result<(), Refusal> {
-        if self.knows_keys(now) {
+    pub(super) fn check_keys(&self, now: Instant) -> Result<(), Refusal> {
+        if self.can_check_keys(now) {
             return Ok(());
         }
         let message = "this instance can't confirm the keys in force; look up another address";
@@ -204,7 +204,10 @@
     pub(super) fn check_wait(&self, now: Instant, submission: &Submission) -> Result<(), Refusal> {
         let name = submission.queue_name();
         let ahead = self.queue.waiting_for(&name);
-        let estimate = self.waits.get(&name).and_then(|wait| wait.wait(ahead));
+        let estimate = self
+            .wait_estimates
+            .get(&name)
+            .and_then(|wait| wait.wait(ahead));
         let left = submission.deadline.saturating_duration_since(now);
         match estimate {
             Some(wait) if ahead > 0 && wait > left => {
@@ -219,7 +222,7 @@
         }
     }
 
-    pub(super) fn run_tokens(&mut self, now: Instant) {
+    pub(super) fn request_tokens(&mut self, now: Instant) {
         let state = &self.state;
         let shards = self.settings.genesis.shards;
         let holder_of = |org: &str| {
@@ -229,21 +232,26 @@
                 fence: lease.fence,
             })
         };
-        let asks = self.tokens.asks(now, holder_of);
-        for (to, ask) in asks {
-            self.send(now, &to, Message::TokenAsk(ask));
+        let requests = self.tokens.due_requests(now, holder_of);
+        for (to, request) in requests {
+            self.send(now, &to, Message::TokenAsk(request));
         }
     }
 
     /// Puts a request with its tokens into the queue.
-    pub(super) fn enqueue(&mut self, now: Instant, id: RequestId, reservation: Reservation) {
+    pub(super) fn enqueue_reserved(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        reservation: Reservation,
+    ) {
         if let Some(request) = self.requests.get_mut(id) {
             request.reservation = Some(reservation);
         }
-        self.enqueue_free(now, id);
+        self.enqueue(now, id);
     }
 
-    pub(super) fn enqueue_free(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn enqueue(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -266,7 +274,7 @@
     }
 
     /// Gives waiting requests to servers as long as there are free slots.
-    pub(super) fn pump(&mut self, now: Instant) {
+    pub(super) fn dispatch_queued(&mut self, now: Instant) {
         if self.queue.is_empty() {
             return;
         }
@@ -276,7 +284,7 @@
             let mut queue =
                 std::mem::replace(&mut self.queue, apricotwell_admission::FairQueue::new(0));
             let popped = queue.pop(|entry| {
-                chosen = self.choose(now, entry, &mut cache);
+                chosen = self.choose_server(now, entry, &mut cache);
                 chosen.is_some()
             });
             self.queue = queue;
@@ -284,13 +292,13 @@
                 return;
             };
             let others = self.queue.waiting_for(&entry.model) > 0;
-            let wait = self.waits.entry(entry.model.clone()).or_default();
+            let wait = self.wait_estimates.entry(entry.model.clone()).or_default();
             wait.note_start(now, others);
-            self.start(now, entry.request, server, replica);
+            self.start_attempt(now, entry.request, server, replica);
         }
     }
 
-    pub(super) fn choose(
+    pub(super) fn choose_server(
         &self,
         now: Instant,
         entry: &Waiting,
@@ -331,12 +339,12 @@
                 && self.servers.is_usable(now, &self.state, &replica.server)
         });
         let loaded: Vec<_> = loaded.collect();
-        let has_present = loaded
+        let has_current = loaded
             .iter()
             .any(|(_, replica)| Some(&replica.version) == version.as_ref());
         loaded
             .into_iter()
-            .filter(|(_, replica)| !has_present || Some(&replica.version) == version.as_ref())
+            .filter(|(_, replica)| !has_current || Some(&replica.version) == version.as_ref())
             .filter_map(|(id, replica)| {
                 let server = ledger.server(&replica.server)?;
                 let pool = self.state.pool(&server.pool)?;
@@ -371,7 +379,7 @@
             .collect()
     }
 
-    pub(super) fn start(
+    pub(super) fn start_attempt(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -381,7 +389,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        if let Some(refusal) = self.check_again(&request.submission) {
+        if let Some(refusal) = self.recheck(&request.submission) {
             self.refuse(now, id, refusal);
             return;
         }
@@ -400,14 +408,14 @@
         }
         if needs_claim {
             request.stage = Stage::Claiming { server };
-            self.ask_claim(now, id);
+            self.request_claim(now, id);
         } else {
             self.dispatch(now, id, server, replica);
         }
     }
 
     // Keys and quarantine may have changed while the request waited.
-    pub(super) fn check_again(&self, submission: &Submission) -> Option<Refusal> {
+    pub(super) fn recheck(&self, submission: &Submission) -> Option<Refusal> {
         let withdrawn = submission
             .api_key
             .is_some_and(|key| self.state.key(&key).is_none());
@@ -442,7 +450,7 @@
         };
         let Some(address) = address else {
             self.router.release(&server);
-            self.enqueue_free(now, id);
+            self.enqueue(now, id);
             return;
         };
         request.attempts += 1;
@@ -454,7 +462,7 @@
         let attempt = request.attempt.clone();
         let remaining = request.submission.deadline.saturating_duration_since(now);
         if request.attempts == 1 {
-            let budget = self.budgets.entry((org, model.clone())).or_default();
+            let budget = self.retry_budgets.entry((org, model.clone())).or_default();
             budget.deposit();
         }
         let event = Event::new(EventKind::RequestDispatched)
@@ -489,20 +497,20 @@
         found.map(|listed| listed.address.clone())
     }
 
-    pub(super) fn note_attempt_end(
+    pub(super) fn record_attempt(
         &mut self,
         now: Instant,
         id: RequestId,
         server: &ServerId,
         end: &AttemptOutcome,
     ) {
-        let is_fine = matches!(
+        let is_healthy = matches!(
             end,
             AttemptOutcome::Answered { .. } | AttemptOutcome::ClientGone | AttemptOutcome::Failed
         );
-        self.router.note_end(now, server, is_fine);
+        self.router.note_end(now, server, is_healthy);
         if let AttemptOutcome::NotRun { unreachable: true } = end {
-            self.servers.avoid(now, server);
+            self.servers.mark_unreachable(now, server);
         }
         let detail = match end.ending() {
             None => "answered",
@@ -528,15 +536,15 @@
         let used = used.unwrap_or(u64::MAX);
         if request.claimed {
             let outcome = Outcome::Answered(recorded_answer(kept));
-            self.tell_outcome(now, id, &outcome);
+            self.report_outcome(now, id, &outcome);
         }
         let event = Event::new(EventKind::RequestAnswered).with_request(self.request_name(id));
         self.event(now, event);
-        self.forget_request(id, used);
+        self.remove_request(id, used);
     }
 
     // The request went to no server, so even a non-idempotent one may go to another.
-    pub(super) fn try_again(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn retry_not_run(&mut self, now: Instant, id: RequestId) {
         let event = Event::new(EventKind::RequestRetried).with_request(self.request_name(id));
         self.event(now, event);
         let late = self
@@ -544,39 +552,39 @@
             .get(id)
             .is_some_and(|request| now >= request.submission.deadline);
         if late {
-            self.refuse_late(now, id);
+            self.refuse_expired(now, id);
         } else {
-            self.enqueue_free(now, id);
+            self.enqueue(now, id);
         }
     }
 
     /// Lets requests go on whose server's crash is confirmed or excluded.
-    pub(super) fn release_cooling(&mut self, now: Instant, checked: &ServerId) {
-        let cooled: Vec<RequestId> = self
+    pub(super) fn resume_checked(&mut self, now: Instant, checked: &ServerId) {
+        let resumed: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, request)| matches!(&request.stage, Stage::Cooling { server, .. } if server == checked))
+            .filter(|(_, request)| matches!(&request.stage, Stage::CheckingCrash { server, .. } if server == checked))
             .map(|(id, _)| id)
             .collect();
-        for id in cooled {
-            self.enqueue_free(now, id);
+        for id in resumed {
+            self.enqueue(now, id);
         }
     }
 
     // The first request that waits for a model must not wait for the next round of demand.
-    pub(super) fn tell_first_demand(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn send_first_demand(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let waits = matches!(request.stage, Stage::Queued);
         if waits && self.queue.waiting_for(&request.submission.queue_name()) == 1 {
             self.next_demand = now;
-            self.tell_demand(now);
+            self.send_demand(now);
         }
     }
 
     /// Tells the holders of models in use who waits and who runs.
-    pub(super) fn tell_demand(&mut self, now: Instant) {
+    pub(super) fn send_demand(&mut self, now: Instant) {
         if now < self.next_demand {
             return;
         }
--- a/crates/apricotwell_node/src/order_desk.rs
+++ b/crates/apricotwell_node/src/order_manager.rs
@@ -7,13 +7,13 @@
 use apricotwell_state::{Replica, ReplicaPhase, State};
 use apricotwell_types::{Fence, ReplicaId, ServerId, Set};
 
-use crate::server_desk::ServerDesk;
+use crate::server_registry::ServerRegistry;
 use crate::{Action, EngineOrder, OrderKind, OrderOutcome};
 
 /// Bits of a fencing number that count the orders given at one offset.
 const ORDER_BITS: u32 = 24;
 /// Pause before an order whose outcome is unknown is given again.
-const ORDER_PAUSE: Duration = Duration::from_secs(1);
+const ORDER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Age of a decision from which on a report must show its load.
 const REPORT_GRACE: Duration = Duration::from_secs(2);
@@ -44,7 +44,7 @@
 pub(crate) struct OrderView<'a> {
     pub(crate) now: Instant,
     pub(crate) state: &'a State,
-    pub(crate) servers: &'a ServerDesk,
+    pub(crate) servers: &'a ServerRegistry,
 }
 
 /// Orders of this instance.
@@ -55,25 +55,25 @@
 /// holder that decided the replica orders it, and only once. So a replica that such an engine
 /// reports as loaded has no further order under way.
 #[derive(Debug)]
-pub(crate) struct OrderDesk {
+pub(crate) struct OrderManager {
     orders: BTreeMap<(ReplicaId, OrderKind), OrderState>,
     first_seen: BTreeMap<ReplicaId, Instant>,
     load_timeout: Duration,
-    last_order: u64,
+    order_count: u64,
 }
 
-impl OrderDesk {
+impl OrderManager {
     pub(crate) fn new(load_timeout: Duration) -> Self {
         Self {
             orders: BTreeMap::new(),
             first_seen: BTreeMap::new(),
             load_timeout,
-            last_order: 0,
+            order_count: 0,
         }
     }
 
     /// Returns the orders that are due for held replicas.
-    pub(crate) fn orders<F>(
+    pub(crate) fn due_orders<F>(
         &mut self,
         view: &OrderView<'_>,
         tickets: &mut u64,
@@ -101,19 +101,19 @@
     }
 
     /// Returns an order that unloads a replica unknown to the ledger.
-    pub(crate) fn unload_orphan(
+    pub(crate) fn unload_unknown(
         &mut self,
         now: Instant,
         state: &State,
-        orphan: (ServerId, String, ReplicaId),
+        unknown: (ServerId, String, ReplicaId),
         incarnation: u64,
         term: &HeldTerm,
         tickets: &mut u64,
     ) -> Option<Action> {
-        let (server, address, replica) = orphan;
+        let (server, address, replica) = unknown;
         let key = (replica, OrderKind::Unload);
         let known = self.orders.get(&key);
-        if known.is_some_and(|order| now < order.sent + ORDER_PAUSE) {
+        if known.is_some_and(|order| now < order.sent + ORDER_RETRY_DELAY) {
             return None;
         }
         let order = EngineOrder {
@@ -122,10 +122,10 @@
             model: "".into(),
             version: String::new(),
             memory_mib: 0,
-            fencing_token: self.next_number(state),
+            fencing_token: self.next_fencing_token(state),
             incarnation,
         };
-        let ticket = self.note_sent(now, key, term.fence, tickets);
+        let ticket = self.record_sent(now, key, term.fence, tickets);
         Some(Action::Order {
             ticket,
             server,
@@ -158,7 +158,7 @@
     pub(crate) fn settlements<F>(
         &self,
         state: &State,
-        servers: &ServerDesk,
+        servers: &ServerRegistry,
         fence_of: F,
     ) -> Vec<Body>
     where
@@ -196,8 +196,8 @@
             let report = view.servers.report(&replica.server);
             let unseen = report.is_some_and(|(at, _)| at >= *since + REPORT_GRACE)
                 && reported_loaded(view.state, view.servers, id, replica).is_none();
-            let given_up = inherited && !has_fencing(view.state, replica) && unseen;
-            given_up || view.now >= *since + self.load_timeout
+            let is_abandoned = inherited && !has_fencing(view.state, replica) && unseen;
+            is_abandoned || view.now >= *since + self.load_timeout
         };
         let replicas = view.state.ledger().replicas();
         replicas
@@ -247,7 +247,7 @@
     }
 
     /// Restarts the clock of a replica, which then counts as new.
-    pub(crate) fn note_loaded(&mut self, now: Instant, replica: ReplicaId) {
+    pub(crate) fn reset_first_seen(&mut self, now: Instant, replica: ReplicaId) {
         self.first_seen.insert(replica, now);
     }
 
@@ -256,7 +256,7 @@
         self.first_seen
             .retain(|id, _| state.ledger().replica(*id).is_some());
         self.orders.retain(|(id, _), order| {
-            state.ledger().replica(*id).is_some() || now < order.sent + ORDER_PAUSE
+            state.ledger().replica(*id).is_some() || now < order.sent + ORDER_RETRY_DELAY
         });
     }
 
@@ -282,7 +282,7 @@
             None => true,
             Some(order) => {
                 let failed = matches!(order.progress, Progress::Unknown | Progress::Failed);
-                failed && view.now >= order.sent + ORDER_PAUSE
+                failed && view.now >= order.sent + ORDER_RETRY_DELAY
             }
         }
     }
@@ -303,10 +303,10 @@
             model: replica.model.clone(),
             version: replica.version.clone(),
             memory_mib: replica.memory,
-            fencing_token: self.next_number(view.state),
+            fencing_token: self.next_fencing_token(view.state),
             incarnation: server.incarnation,
         };
-        let ticket = self.note_sent(view.now, (id, kind), term.fence, tickets);
+        let ticket = self.record_sent(view.now, (id, kind), term.fence, tickets);
         Some(Action::Order {
             ticket,
             server: replica.server.clone(),
@@ -316,7 +316,7 @@
         })
     }
 
-    fn note_sent(
+    fn record_sent(
         &mut self,
         now: Instant,
         key: (ReplicaId, OrderKind),
@@ -336,15 +336,15 @@
 
     // A holder that has not seen its lease taken over has applied less than its successor, whose
     // numbers are therefore higher, on whatever shard they were given.
-    fn next_number(&mut self, state: &State) -> u64 {
-        self.last_order += 1;
-        (state.next() << ORDER_BITS) | (self.last_order & ((1 << ORDER_BITS) - 1))
+    fn next_fencing_token(&mut self, state: &State) -> u64 {
+        self.order_count += 1;
+        (state.next() << ORDER_BITS) | (self.order_count & ((1 << ORDER_BITS) - 1))
     }
 
     fn settlement(
         &self,
         state: &State,
-        servers: &ServerDesk,
+        servers: &ServerRegistry,
         id: ReplicaId,
         replica: &Replica,
         fence: Fence,
@@ -383,7 +383,7 @@
 // `Some(false)` while it is being loaded.
 fn reported_loaded(
     state: &State,
-    servers: &ServerDesk,
+    servers: &ServerRegistry,
     id: ReplicaId,
     replica: &Replica,
 ) -> Option<bool> {
--- a/crates/apricotwell_node/src/requests.rs
+++ b/crates/apricotwell_node/src/requests.rs
@@ -7,7 +7,7 @@
 use apricotwell_types::{Ending, RequestId, ServerId, Tokens};
 
 use crate::Submission;
-use crate::token_desk::Reservation;
+use crate::token_manager::Reservation;
 
 /// Answer as far as it is kept for repeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Stage {
     /// Waits for tokens.
-    Tokens,
+    AwaitingTokens,
     /// Waits for a server.
     Queued,
     /// Has a server and waits for its idempotency key.
@@ -86,7 +86,7 @@
     /// Runs.
     Running { server: ServerId },
     /// Waits until a crash of its last server is confirmed or excluded.
-    Cooling { server: ServerId, until: Instant },
+    CheckingCrash { server: ServerId, until: Instant },
 }
 
 /// Accepted request.
@@ -113,7 +113,7 @@
         self.last += 1;
         let request = Request {
             submission,
-            stage: Stage::Tokens,
+            stage: Stage::AwaitingTokens,
             reservation: None,
             attempts: 0,
             attempt: String::new(),
--- a/crates/apricotwell_node/src/server_desk.rs
+++ b/crates/apricotwell_node/src/server_registry.rs
@@ -9,7 +9,7 @@
 use apricotwell_types::{BodyDigest, Incarnation, ModelId, ReplicaId, ServerId, ZoneId};
 
 /// Time for which a server that could not be reached gets no requests from here.
-const AVOID: Duration = Duration::from_secs(2);
+const AVOID_TIME: Duration = Duration::from_secs(2);
 
 /// Backend server on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -53,11 +53,11 @@
 }
 
 #[derive(Debug)]
-struct Seen {
+struct ServerInfo {
     listed: Option<ListedServer>,
     report: Option<(Instant, ServerReport)>,
     // Since when no poll has been answered.
-    silent: Option<Instant>,
+    silent_since: Option<Instant>,
     polled: Option<Instant>,
     avoid_until: Option<Instant>,
     // Bodies that were running when a connection broke, with the server's incarnation.
@@ -66,13 +66,13 @@
 
 /// Backend servers as seen from here.
 #[derive(Debug)]
-pub(crate) struct ServerDesk {
-    servers: BTreeMap<ServerId, Seen>,
+pub(crate) struct ServerRegistry {
+    servers: BTreeMap<ServerId, ServerInfo>,
     period: Duration,
     timeout: Duration,
 }
 
-impl ServerDesk {
+impl ServerRegistry {
     pub(crate) fn new(period: Duration, timeout: Duration) -> Self {
         Self {
             servers: BTreeMap::new(),
@@ -83,23 +83,23 @@
 
     /// Takes the platform's list.
     pub(crate) fn set_list(&mut self, list: Vec<ListedServer>) {
-        for seen in self.servers.values_mut() {
-            seen.listed = None;
+        for info in self.servers.values_mut() {
+            info.listed = None;
         }
         for server in list {
-            let seen = self
+            let info = self
                 .servers
                 .entry(server.id.clone())
-                .or_insert_with(Seen::new);
-            seen.listed = Some(server);
+                .or_insert_with(ServerInfo::new);
+            info.listed = Some(server);
         }
     }
 
     /// Returns the servers of a pool of plain services that take work.
     pub(crate) fn service_servers(&self, now: Instant, pool: &str) -> Vec<&ListedServer> {
-        let listed = self.servers.values().filter(|seen| !seen.is_avoided(now));
+        let listed = self.servers.values().filter(|info| !info.is_avoided(now));
         listed
-            .filter_map(|seen| seen.listed.as_ref())
+            .filter_map(|info| info.listed.as_ref())
             .filter(|server| server.pool == pool && !server.leaving)
             .collect()
     }
@@ -109,17 +109,17 @@
         let Some(record) = state.ledger().server(server) else {
             return false;
         };
-        let seen = self.servers.get(server);
-        let away = seen.is_some_and(|seen| {
-            seen.is_avoided(now) || seen.listed.as_ref().is_some_and(|listed| listed.leaving)
+        let info = self.servers.get(server);
+        let is_excluded = info.is_some_and(|info| {
+            info.is_avoided(now) || info.listed.as_ref().is_some_and(|listed| listed.leaving)
         });
-        !record.leaving && !away
+        !record.leaving && !is_excluded
     }
 
     /// Returns the servers as placement needs them.
     pub(crate) fn views(&self, now: Instant, state: &State) -> BTreeMap<ServerId, ServerView> {
         let view = |id: &ServerId| {
-            let report = self.servers.get(id).and_then(|seen| seen.report.as_ref());
+            let report = self.servers.get(id).and_then(|info| info.report.as_ref());
             let cached = report.map(|(_, report)| report.cached.iter().cloned().collect());
             ServerView {
                 usable: self.is_usable(now, state, id),
@@ -141,23 +141,23 @@
         &mut self,
         now: Instant,
         state: &State,
-        wanted: F,
+        is_watched: F,
     ) -> Vec<(ServerId, String)>
     where
         F: Fn(&ServerId) -> bool,
     {
         let mut polls = Vec::new();
-        for (id, seen) in &mut self.servers {
-            let Some(address) = seen.address(id, state) else {
+        for (id, info) in &mut self.servers {
+            let Some(address) = info.address(id, state) else {
                 continue;
             };
-            let urgent = !seen.suspects.is_empty();
-            if !urgent && !wanted(id) {
+            let urgent = !info.suspects.is_empty();
+            if !urgent && !is_watched(id) {
                 continue;
             }
-            let due = seen.polled.is_none_or(|at| now >= at + self.period);
+            let due = info.polled.is_none_or(|at| now >= at + self.period);
             if due {
-                seen.polled = Some(now);
+                info.polled = Some(now);
                 polls.push((id.clone(), address));
             }
         }
@@ -173,9 +173,12 @@
         server: &ServerId,
         report: Option<ServerReport>,
     ) -> Vec<BodyDigest> {
-        let seen = self.servers.entry(server.clone()).or_insert_with(Seen::new);
+        let info = self
+            .servers
+            .entry(server.clone())
+            .or_insert_with(ServerInfo::new);
         let found = report.as_ref().map(|report| report.incarnation);
-        let crashed = seen
+        let crashed = info
             .suspects
             .drain(..)
             .filter(|(_, before)| found.is_none() || (before.is_some() && *before != found))
@@ -183,35 +186,41 @@
             .collect();
         match report {
             Some(report) => {
-                seen.silent = None;
-                seen.avoid_until = None;
-                seen.report = Some((now, report));
+                info.silent_since = None;
+                info.avoid_until = None;
+                info.report = Some((now, report));
             }
             None => {
-                seen.silent = seen.silent.or(Some(now));
-                seen.avoid_until = Some(now + AVOID);
+                info.silent_since = info.silent_since.or(Some(now));
+                info.avoid_until = Some(now + AVOID_TIME);
             }
         }
         crashed
     }
 
     /// Notes that a server could not be reached, so that other servers are preferred for a while.
-    pub(crate) fn avoid(&mut self, now: Instant, server: &ServerId) {
-        let seen = self.servers.entry(server.clone()).or_insert_with(Seen::new);
-        seen.avoid_until = Some(now + AVOID);
+    pub(crate) fn mark_unreachable(&mut self, now: Instant, server: &ServerId) {
+        let info = self
+            .servers
+            .entry(server.clone())
+            .or_insert_with(ServerInfo::new);
+        info.avoid_until = Some(now + AVOID_TIME);
     }
 
     /// Notes a body that was running when the connection to a server broke; a poll will tell
     /// whether the server crashed.
-    pub(crate) fn suspect(
+    pub(crate) fn suspect_crash(
         &mut self,
         server: &ServerId,
         digest: BodyDigest,
         incarnation: Option<Incarnation>,
     ) {
-        let seen = self.servers.entry(server.clone()).or_insert_with(Seen::new);
-        seen.suspects.push((digest, incarnation));
-        seen.polled = None;
+        let info = self
+            .servers
+            .entry(server.clone())
+            .or_insert_with(ServerInfo::new);
+        info.suspects.push((digest, incarnation));
+        info.polled = None;
     }
 
     /// Returns the records on servers that this instance has to write.
@@ -220,12 +229,12 @@
         F: Fn(&ServerId) -> bool,
     {
         let mut records = Vec::new();
-        for (id, seen) in &self.servers {
+        for (id, info) in &self.servers {
             if !is_held(id) {
                 continue;
             }
-            records.extend(seen.up_record(id, state));
-            records.extend(seen.gone_record(now, id, state, self.timeout));
+            records.extend(info.up_record(id, state));
+            records.extend(info.gone_record(now, id, state, self.timeout));
         }
         records
     }
@@ -233,44 +242,48 @@
     /// Returns replicas on servers that are about to be recorded and that the ledger lacks.
     ///
     /// They stem from before the server was recorded as gone and must be unloaded first.
-    pub(crate) fn orphans<F>(&self, state: &State, is_held: F) -> Vec<(ServerId, String, ReplicaId)>
+    pub(crate) fn unknown_replicas<F>(
+        &self,
+        state: &State,
+        is_held: F,
+    ) -> Vec<(ServerId, String, ReplicaId)>
     where
         F: Fn(&ServerId) -> bool,
     {
-        let mut orphans = Vec::new();
-        for (id, seen) in &self.servers {
-            let (Some(listed), Some((_, report))) = (&seen.listed, &seen.report) else {
+        let mut unknown_replicas = Vec::new();
+        for (id, info) in &self.servers {
+            let (Some(listed), Some((_, report))) = (&info.listed, &info.report) else {
                 continue;
             };
-            if !is_held(id) || seen.silent.is_some() {
+            if !is_held(id) || info.silent_since.is_some() {
                 continue;
             }
             // A replica is named by the offset that decided it: one decided beyond what this
             // instance has applied is merely news.
-            let orphan = |replica: &&ReportedReplica| {
+            let is_unknown = |replica: &&ReportedReplica| {
                 let record = state.ledger().replica(replica.replica);
                 replica.replica < state.next() && record.is_none_or(|record| record.server != *id)
             };
-            for replica in report.replicas.iter().filter(orphan) {
-                orphans.push((id.clone(), listed.address.clone(), replica.replica));
+            for replica in report.replicas.iter().filter(is_unknown) {
+                unknown_replicas.push((id.clone(), listed.address.clone(), replica.replica));
             }
         }
-        orphans
+        unknown_replicas
     }
 
     /// Forgets servers that neither the list nor the ledger holds.
     pub(crate) fn retain(&mut self, state: &State) {
         self.servers
-            .retain(|id, seen| seen.listed.is_some() || state.ledger().server(id).is_some());
+            .retain(|id, info| info.listed.is_some() || state.ledger().server(id).is_some());
     }
 }
 
-impl Seen {
+impl ServerInfo {
     fn new() -> Self {
         Self {
             listed: None,
             report: None,
-            silent: None,
+            silent_since: None,
             polled: None,
             avoid_until: None,
             suspects: Vec::new(),
@@ -297,7 +310,7 @@
     fn up_record(&self, id: &ServerId, state: &State) -> Option<Body> {
         let listed = self.listed.as_ref()?;
         let (_, report) = self.report.as_ref()?;
-        if self.silent.is_some() {
+        if self.silent_since.is_some() {
             return None;
         }
         let up = ServerUp {
@@ -319,11 +332,11 @@
         let older = known.is_some_and(|known| known.incarnation > up.incarnation);
         // A server comes back into the ledger only empty: see `orphans`.
         let unrecorded = known.is_none_or(|known| known.incarnation < up.incarnation);
-        let has_orphans = report
+        let has_unknown = report
             .replicas
             .iter()
             .any(|replica| state.ledger().replica(replica.replica).is_none());
-        if same || older || (unrecorded && has_orphans) {
+        if same || older || (unrecorded && has_unknown) {
             return None;
         }
         Some(Body::ServerUp(up))
@@ -337,8 +350,8 @@
         timeout: Duration,
     ) -> Option<Body> {
         let known = state.ledger().server(id)?;
-        let silent = self.silent?;
-        if now < silent + timeout {
+        let silent_since = self.silent_since?;
+        if now < silent_since + timeout {
             return None;
         }
         Some(Body::ServerGone(ServerGone {
--- a/crates/apricotwell_node/src/status.rs
+++ b/crates/apricotwell_node/src/status.rs
@@ -127,7 +127,7 @@
             shard,
             holder: lease.holder.to_string(),
             fence: lease.fence,
-            standing: match self.standing(now, shard) {
+            standing: match self.lease_state(now, shard) {
                 Standing::Held { .. } => "held",
                 Standing::Waiting => "waiting",
                 Standing::NotHeld => "not_held",
@@ -173,7 +173,7 @@
             .collect();
         let lease = state.lease(state.model_shard(model));
         let terms = state.load_terms(model);
-        let (waiting, running) = self.demand_of(now, model);
+        let (waiting, running) = self.model_demand(now, model);
         let reason = if terms.is_none() {
             "it has no settings under /platform/models or /teams/ORG/adapters".to_owned()
         } else if let Some(reason) = self.placement_reason(model) {
--- a/crates/apricotwell_node/src/token_desk.rs
+++ b/crates/apricotwell_node/src/token_manager.rs
@@ -8,11 +8,11 @@
 use apricotwell_types::{Fence, InstanceId, Map, OrgId, RequestId, Tokens, WorkClass};
 
 /// Time after which an ask without an answer is sent again.
-const ASK_TIMEOUT: Duration = Duration::from_millis(300);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 /// Least pause between two asks of one organisation.
-const ASK_PAUSE: Duration = Duration::from_millis(20);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// Time over which use is smoothed to size an ask.
-const USE_SPAN: Duration = Duration::from_secs(1);
+const USE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Where an ask for tokens goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,15 +31,15 @@
 type WaitKey = (WorkClass, Instant, RequestId);
 
 #[derive(Debug)]
-struct OrgDesk {
+struct OrgTokens {
     current: Escrow,
     // Grants of an earlier holder, spendable until they lapse.
     earlier: Option<Escrow>,
     waiting: BTreeMap<WaitKey, Tokens>,
-    asked: Option<(u64, Instant)>,
-    next_ask: Instant,
+    outstanding: Option<(u64, Instant)>,
+    next_request: Instant,
     // Smoothed tokens used in `USE_SPAN`.
-    used: f64,
+    recent_use: f64,
     used_at: Instant,
     unreported: bool,
 }
@@ -55,11 +55,11 @@
 
 /// Escrows of all organisations and the buckets of held shards.
 #[derive(Debug)]
-pub(crate) struct TokenDesk {
+pub(crate) struct TokenManager {
     term: Duration,
-    orgs: BTreeMap<OrgId, OrgDesk>,
+    orgs: BTreeMap<OrgId, OrgTokens>,
     buckets: Map<OrgId, HeldBucket>,
-    handed: Map<OrgId, (Fence, BucketSnapshot)>,
+    received: Map<OrgId, (Fence, BucketSnapshot)>,
     last_number: u64,
 }
 
@@ -72,7 +72,7 @@
 
 /// How the holder of a shard came by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Tenure {
+pub(crate) struct TermStart {
     pub(crate) fence: Fence,
     // Fence of the lease before, 0 when nobody ever held the shard.
     pub(crate) previous: Fence,
@@ -80,24 +80,24 @@
     pub(crate) since: Instant,
 }
 
-impl TokenDesk {
+impl TokenManager {
     pub(crate) fn new(term: Duration) -> Self {
         Self {
             term,
             orgs: BTreeMap::new(),
             buckets: Map::default(),
-            handed: Map::default(),
+            received: Map::default(),
             last_number: 0,
         }
     }
 
     /// Takes tokens at once, unless earlier requests of the organisation wait for theirs.
     pub(crate) fn take(&mut self, now: Instant, org: &OrgId, cost: Tokens) -> Option<Reservation> {
-        let desk = self.org(now, org);
-        if !desk.waiting.is_empty() {
+        let org_tokens = self.org(now, org);
+        if !org_tokens.waiting.is_empty() {
             return None;
         }
-        desk.take(now, cost)
+        org_tokens.take(now, cost)
     }
 
     /// Lets a request wait for its tokens.
@@ -110,91 +110,101 @@
         deadline: Instant,
         cost: Tokens,
     ) {
-        let desk = self.org(now, org);
-        desk.waiting.insert((class, deadline, request), cost);
+        let org_tokens = self.org(now, org);
+        org_tokens.waiting.insert((class, deadline, request), cost);
     }
 
     /// Returns how many requests of an organisation wait for tokens.
     pub(crate) fn waiting(&self, org: &str) -> usize {
-        self.orgs.get(org).map_or(0, |desk| desk.waiting.len())
+        self.orgs
+            .get(org)
+            .map_or(0, |org_tokens| org_tokens.waiting.len())
     }
 
     /// Returns how many requests wait for tokens.
     pub(crate) fn total_waiting(&self) -> usize {
-        self.orgs.values().map(|desk| desk.waiting.len()).sum()
+        self.orgs
+            .values()
+            .map(|org_tokens| org_tokens.waiting.len())
+            .sum()
     }
 
     /// Takes a request off the wait.
     pub(crate) fn forget(&mut self, org: &str, request: RequestId) {
-        if let Some(desk) = self.orgs.get_mut(org) {
-            desk.waiting
+        if let Some(org_tokens) = self.orgs.get_mut(org) {
+            org_tokens
+                .waiting
                 .retain(|(_, _, waiting), _| *waiting != request);
         }
     }
 
     /// Gives back what a finished request did not use.
     pub(crate) fn settle(&mut self, org: &str, reservation: Reservation, used: Tokens) {
-        let Some(desk) = self.orgs.get_mut(org) else {
+        let Some(org_tokens) = self.orgs.get_mut(org) else {
             return;
         };
-        let escrows = [Some(&mut desk.current), desk.earlier.as_mut()];
+        let escrows = [Some(&mut org_tokens.current), org_tokens.earlier.as_mut()];
         for escrow in escrows.into_iter().flatten() {
             if escrow.session() == reservation.session {
                 escrow.settle(reservation.tokens, used);
-                desk.unreported = true;
+                org_tokens.unreported = true;
             }
         }
     }
 
     /// Returns the asks that are due; `holder_of` names the holder of an organisation's shard.
-    pub(crate) fn asks<'a, F>(&mut self, now: Instant, holder_of: F) -> Vec<(InstanceId, TokenAsk)>
+    pub(crate) fn due_requests<'a, F>(
+        &mut self,
+        now: Instant,
+        holder_of: F,
+    ) -> Vec<(InstanceId, TokenAsk)>
     where
         F: Fn(&str) -> Option<HolderRef<'a>>,
     {
-        let mut asks = Vec::new();
-        for (org, desk) in &mut self.orgs {
+        let mut requests = Vec::new();
+        for (org, org_tokens) in &mut self.orgs {
             let Some(holder) = holder_of(org) else {
                 continue;
             };
-            desk.follow(holder.fence);
-            let Some(want) = desk.want(now) else {
+            org_tokens.switch_holder(holder.fence);
+            let Some(want) = org_tokens.tokens_wanted(now) else {
                 continue;
             };
             self.last_number += 1;
-            let report = desk.current.report(now);
-            desk.asked = (want > 0).then_some((self.last_number, now));
-            desk.next_ask = now + ASK_PAUSE;
-            desk.unreported = false;
-            let ask = TokenAsk::new(org, self.last_number, want, report);
-            asks.push((holder.instance.clone(), ask));
+            let report = org_tokens.current.report(now);
+            org_tokens.outstanding = (want > 0).then_some((self.last_number, now));
+            org_tokens.next_request = now + REQUEST_INTERVAL;
+            org_tokens.unreported = false;
+            let request = TokenAsk::new(org, self.last_number, want, report);
+            requests.push((holder.instance.clone(), request));
         }
-        asks
+        requests
     }
 
     /// Answers an ask as the holder of the organisation's shard.
-    pub(crate) fn on_ask(
+    pub(crate) fn on_request(
         &mut self,
         now: Instant,
         from: &InstanceId,
-        ask: &TokenAsk,
+        request: &TokenAsk,
         rate: Rate,
-        tenure: Tenure,
+        term_start: TermStart,
     ) -> Option<TokenGrant> {
-        let org: OrgId = ask.org.as_str().into();
-        let held = self.bucket(now, &org, rate, tenure);
-        if ask.session == tenure.fence {
-            held.bucket.apply(now, from, &ask.report());
+        let org: OrgId = request.org.as_str().into();
+        let held = self.bucket(now, &org, rate, term_start);
+        if request.session == term_start.fence {
+            held.bucket.apply(now, from, &request.report());
         }
-        if ask.want == 0 {
+        if request.want == 0 {
             return None;
         }
-        let grant = held.bucket.grant(now, from, ask.want);
+        let grant = held.bucket.grant(now, from, request.want);
         let amount = grant.map_or(0, |grant| grant.amount);
-        let wait = held.bucket.wait_for(now, ask.want - amount);
+        let wait = held.bucket.wait_for(now, request.want - amount);
         Some(TokenGrant {
-            org: ask.org.clone(),
-            number: ask.number,
-            session: tenure.fence,
+            org: request.org.clone(),
+            number: request.number,
+            session: term_start.fence,
             grant: grant.map_or(0, |grant| grant.id),
             amount,
             term_ms: self.term.as_millis() as u64,
@@ -207,33 +217,33 @@
         &mut self,
         now: Instant,
         grant: &TokenGrant,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Vec<TokenVerdict> {
-        let Some(desk) = self.orgs.get_mut(grant.org.as_str()) else {
+        let Some(org_tokens) = self.orgs.get_mut(grant.org.as_str()) else {
             return Vec::new();
         };
-        let Some((number, asked)) = desk.asked else {
+        let Some((number, sent)) = org_tokens.outstanding else {
             return Vec::new();
         };
-        if number != grant.number || grant.session != desk.current.session() {
+        if number != grant.number || grant.session != org_tokens.current.session() {
             return Vec::new();
         }
-        desk.asked = None;
+        org_tokens.outstanding = None;
         if grant.amount > 0 {
-            let lent = Grant {
+            let granted = Grant {
                 id: grant.grant,
                 amount: grant.amount,
                 term: Duration::from_millis(grant.term_ms),
             };
-            desk.current.add(asked, lent);
+            org_tokens.current.add(sent, granted);
         }
-        let mut verdicts = desk.serve(now);
-        if desk.waiting.is_empty() {
+        let mut verdicts = org_tokens.reserve_waiting(now);
+        if org_tokens.waiting.is_empty() {
             return verdicts;
         }
         let wait = Duration::from_millis(grant.wait_ms);
-        desk.next_ask = now + wait.clamp(ASK_PAUSE, ASK_TIMEOUT);
-        verdicts.extend(desk.refuse_late(now, wait, patience));
+        org_tokens.next_request = now + wait.clamp(REQUEST_INTERVAL, REQUEST_TIMEOUT);
+        verdicts.extend(org_tokens.refuse_late(now, wait, max_wait));
         verdicts
     }
 
@@ -265,7 +275,7 @@
             level: state.level,
             lent: state.lent,
         };
-        self.handed
+        self.received
             .insert(state.org.as_str().into(), (state.fence, snapshot));
     }
 
@@ -276,33 +286,39 @@
     {
         self.buckets
             .retain(|org, held| fence_of(org) == Some(held.fence));
-        self.orgs.retain(|_, desk| {
-            !desk.waiting.is_empty()
-                || desk.unreported
-                || desk.current.available(now) > 0
-                || now < desk.used_at + USE_SPAN * 60
+        self.orgs.retain(|_, org_tokens| {
+            !org_tokens.waiting.is_empty()
+                || org_tokens.unreported
+                || org_tokens.current.available(now) > 0
+                || now < org_tokens.used_at + USE_WINDOW * 60
         });
     }
 
-    fn org(&mut self, now: Instant, org: &OrgId) -> &mut OrgDesk {
+    fn org(&mut self, now: Instant, org: &OrgId) -> &mut OrgTokens {
         self.orgs
             .entry(org.clone())
-            .or_insert_with(|| OrgDesk::new(now))
+            .or_insert_with(|| OrgTokens::new(now))
     }
 
-    fn bucket(&mut self, now: Instant, org: &OrgId, rate: Rate, tenure: Tenure) -> &mut HeldBucket {
+    fn bucket(
+        &mut self,
+        now: Instant,
+        org: &OrgId,
+        rate: Rate,
+        term_start: TermStart,
+    ) -> &mut HeldBucket {
         let known = self.buckets.get(org).map(|held| held.fence);
-        if known != Some(tenure.fence) {
-            let handed = self.handed.remove(org);
-            let bucket = match handed {
-                Some((fence, snapshot)) if fence == tenure.previous => {
+        if known != Some(term_start.fence) {
+            let received = self.received.remove(org);
+            let bucket = match received {
+                Some((fence, snapshot)) if fence == term_start.previous => {
                     Bucket::from_snapshot(now, rate, self.term, snapshot)
                 }
-                _ if tenure.previous == 0 => Bucket::full(now, rate, self.term),
-                _ => Bucket::after_takeover(tenure.since, rate, self.term),
+                _ if term_start.previous == 0 => Bucket::full(now, rate, self.term),
+                _ => Bucket::after_takeover(term_start.since, rate, self.term),
             };
             let held = HeldBucket {
-                fence: tenure.fence,
+                fence: term_start.fence,
                 rate,
                 bucket,
             };
@@ -312,9 +328,9 @@
             .buckets
             .entry(org.clone())
             .or_insert_with(|| HeldBucket {
-                fence: tenure.fence,
+                fence: term_start.fence,
                 rate,
-                bucket: Bucket::after_takeover(tenure.since, rate, self.term),
+                bucket: Bucket::after_takeover(term_start.since, rate, self.term),
             });
         if held.rate != rate {
             held.rate = rate;
@@ -324,33 +340,33 @@
     }
 }
 
-impl OrgDesk {
+impl OrgTokens {
     fn new(now: Instant) -> Self {
         Self {
             current: Escrow::new(0),
             earlier: None,
             waiting: BTreeMap::new(),
-            asked: None,
-            next_ask: now,
-            used: 0.0,
+            outstanding: None,
+            next_request: now,
+            recent_use: 0.0,
             used_at: now,
             unreported: false,
         }
     }
 
     // Begins a session with a new holder; what the last one lent stays spendable.
-    fn follow(&mut self, fence: Fence) {
+    fn switch_holder(&mut self, fence: Fence) {
         if self.current.session() == fence {
             return;
         }
         let earlier = std::mem::replace(&mut self.current, Escrow::new(fence));
         self.earlier = Some(earlier);
-        self.asked = None;
+        self.outstanding = None;
     }
 
     fn take(&mut self, now: Instant, cost: Tokens) -> Option<Reservation> {
         let session = self.take_from_any(now, cost)?;
-        self.note_use(now, cost);
+        self.record_use(now, cost);
         Some(Reservation {
             session,
             tokens: cost,
@@ -368,32 +384,32 @@
         current.take(now, cost).then(|| current.session())
     }
 
-    fn note_use(&mut self, now: Instant, cost: Tokens) {
+    fn record_use(&mut self, now: Instant, cost: Tokens) {
         self.decay(now);
-        self.used += cost as f64;
+        self.recent_use += cost as f64;
     }
 
     fn decay(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.used_at);
-        let spans = elapsed.as_secs_f64() / USE_SPAN.as_secs_f64();
-        self.used *= (-spans).exp();
+        let spans = elapsed.as_secs_f64() / USE_WINDOW.as_secs_f64();
+        self.recent_use *= (-spans).exp();
         self.used_at = self.used_at.max(now);
     }
 
     // Tokens to ask for now, 0 for a mere report, `None` when nothing is due.
-    fn want(&mut self, now: Instant) -> Option<Tokens> {
-        if now < self.next_ask {
+    fn tokens_wanted(&mut self, now: Instant) -> Option<Tokens> {
+        if now < self.next_request {
             return None;
         }
-        if let Some((_, asked)) = self.asked
-            && now < asked + ASK_TIMEOUT
+        if let Some((_, sent)) = self.outstanding
+            && now < sent + REQUEST_TIMEOUT
         {
             return None;
         }
         self.decay(now);
         let available = self.current.available(now);
         let waiting: Tokens = self.waiting.values().sum();
-        let reserve = self.used as Tokens;
+        let reserve = self.recent_use as Tokens;
         let want = (waiting + reserve).saturating_sub(available);
         if waiting > 0 || (reserve > 0 && available < reserve / 2) {
             return Some(want);
@@ -403,7 +419,7 @@
     }
 
     // Gives tokens to those that wait, the most urgent first.
-    fn serve(&mut self, now: Instant) -> Vec<TokenVerdict> {
+    fn reserve_waiting(&mut self, now: Instant) -> Vec<TokenVerdict> {
         let mut verdicts = Vec::new();
         while let Some((key, cost)) = self
             .waiting
@@ -424,24 +440,24 @@
         &mut self,
         now: Instant,
         wait: Duration,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Vec<TokenVerdict> {
         let total: Tokens = self.waiting.values().sum();
         let mut ahead = 0;
         let mut late = Vec::new();
         for ((class, deadline, request), cost) in &self.waiting {
             ahead += cost;
-            let part = wait.as_secs_f64() * ahead as f64 / total.max(1) as f64;
-            let part = Duration::try_from_secs_f64(part).unwrap_or(Duration::MAX);
-            let patience = patience.min(deadline.saturating_duration_since(now));
-            if part > patience {
+            let share = wait.as_secs_f64() * ahead as f64 / total.max(1) as f64;
+            let share = Duration::try_from_secs_f64(share).unwrap_or(Duration::MAX);
+            let max_wait = max_wait.min(deadline.saturating_duration_since(now));
+            if share > max_wait {
                 ahead -= cost;
-                late.push(((*class, *deadline, *request), part));
+                late.push(((*class, *deadline, *request), share));
             }
         }
-        let refuse = |(key, part): (WaitKey, Duration)| {
+        let refuse = |(key, share): (WaitKey, Duration)| {
             self.waiting.remove(&key);
-            TokenVerdict::Refused(key.2, part)
+            TokenVerdict::Refused(key.2, share)
         };
         late.into_iter().map(refuse).collect()
     }
