--- a/crates/apricotwell_node/src/action.rs
+++ b/crates/apricotwell_node/src/action.rs
@@ -1,4 +1,4 @@
-//! What a node asks its shell to do.
+//! Side effects that a node requests from its driver.
 
 use std::time::{Duration, Instant};
 
@@ -8,64 +8,65 @@
 use apricotwell_timeline::Event;
 use apricotwell_types::{Incarnation, ModelId, Offset, Refusal, ReplicaId, RequestId, ServerId};
 
-/// What a node asks its shell to do.
+/// Side effect that a node requests from its driver, the code that performs its I/O.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Append records to a stream and report with [`crate::Node::on_appended`].
+    /// Append records to a stream and report the result to [`crate::Node::on_appended`].
     Append {
-        /// Stream.
+        /// Name of the stream.
         stream: String,
-        /// Number to report with; 0 when no report is wanted.
+        /// Number that the result is reported with; 0 when no result is needed.
         ticket: u64,
-        /// Records.
+        /// Encoded records, in order.
         records: Vec<Vec<u8>>,
     },
-    /// Read a stream once and report with [`crate::Node::on_claims_read`].
+    /// Read a stream once and report the result to [`crate::Node::on_claims_read`].
     ReadClaims {
-        /// Stream.
+        /// Name of the stream.
         stream: String,
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
     },
-    /// Send a message to a peer; it may be lost.
+    /// Send a message to a peer; delivery is not guaranteed.
     Send {
-        /// Receiver.
+        /// Peer that receives the message.
         to: Contact,
-        /// Message.
+        /// Message with its sender.
         envelope: Envelope,
     },
-    /// Give an order to a backend server and report with [`crate::Node::on_order_ended`].
+    /// Send an order to a backend server and report the result to [`crate::Node::on_order_ended`].
     Order {
-        /// Number to report with.
+        /// Number that the result is reported with.
         ticket: u64,
-        /// Server.
+        /// Server that the order is for.
         server: ServerId,
-        /// Its address as `ip:port`.
+        /// Address of the server as `ip:port`.
         address: String,
-        /// Order.
+        /// Order to send.
         order: EngineOrder,
         /// Time after which the order must not be sent.
         valid_until: Instant,
     },
-    /// Ask a backend server for a report and pass it to [`crate::Node::on_report`].
+    /// Request a status report from a backend server and pass it to [`crate::Node::on_report`].
     Poll {
-        /// Server.
+        /// Server to poll.
         server: ServerId,
-        /// Its address as `ip:port`.
+        /// Address of the server as `ip:port`.
         address: String,
     },
-    /// Give a request to a backend server and report with [`crate::Node::on_attempt_ended`].
+    /// Send a request to a backend server and report the result to
+    /// [`crate::Node::on_attempt_ended`].
     Dispatch(Dispatch),
-    /// Answer a request with a refusal.
+    /// Reject a request.
     Refuse {
-        /// Request.
+        /// Request to reject.
         request: RequestId,
-        /// Refusal.
+        /// Error that the client gets.
         refusal: Refusal,
     },
-    /// Answer a request with a recorded answer.
+    /// Answer a request with the recorded answer of an earlier attempt.
     Replay {
-        /// Request.
+        /// Request to answer.
         request: RequestId,
         /// Recorded answer.
         answer: Answer,
@@ -74,26 +75,26 @@
     Event(Event),
 }
 
-/// Request to give to a backend server.
+/// One attempt to run a request on a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispatch {
-    /// Request.
+    /// Request to run.
     pub request: RequestId,
-    /// Attempt; the answer must name it.
+    /// Id of the attempt, which the server must repeat in its answer.
     pub attempt: String,
-    /// Server.
+    /// Server that runs the request.
     pub server: ServerId,
-    /// Its address as `ip:port`.
+    /// Address of the server as `ip:port`.
     pub address: String,
-    /// Replica that shall run it; `None` for a plain service.
+    /// Replica that runs the request; `None` for a plain service.
     pub replica: Option<ReplicaId>,
-    /// Model, or the pool of a plain service.
+    /// Model, or the queue name of a plain service.
     pub model: ModelId,
     /// Time left until the request's deadline.
     pub remaining: Duration,
 }
 
-/// Kinds of orders.
+/// Kind of an order to a model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OrderKind {
     /// Load a replica.
@@ -102,33 +103,33 @@
     Unload,
 }
 
-/// Order to a model engine.
+/// Order that makes a model engine load or unload a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// Kind.
+    /// Whether to load or unload.
     pub kind: OrderKind,
-    /// Replica; an order for one that is already so changes nothing.
+    /// Replica to load or unload; orders are idempotent.
     pub replica: ReplicaId,
     /// Model, or `model:adapter`.
     pub model: ModelId,
     /// Version of the weights.
     pub version: String,
-    /// Memory in MiB that the replica takes.
+    /// Memory that the replica takes, in MiB.
     pub memory_mib: u64,
-    /// Fencing number of the order; an engine that checks refuses a lower one than it has seen
-    /// for the same model.
+    /// Fencing token; an engine that supports fencing rejects a token lower than the highest one
+    /// it has seen for the same model.
     pub fencing_token: u64,
-    /// Start number of the server that the order is meant for.
+    /// Incarnation (process start) of the server that the order is meant for.
     pub incarnation: Incarnation,
 }
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The server confirmed it.
+    /// The server confirmed the order.
     Done,
-    /// The server refused or failed it, or never got it.
+    /// The server rejected the order, failed to execute it, or never received it.
     Failed,
-    /// The server may have taken it, now or later.
+    /// The server may have executed the order or may still execute it.
     Unknown,
 }
--- a/crates/apricotwell_node/src/claim_client.rs
+++ b/crates/apricotwell_node/src/claim_client.rs
@@ -1,4 +1,4 @@
-//! Claims as the instance that serves a request: asks for keys and tells how attempts end.
+//! Client side of the claim protocol: claims idempotency keys and reports outcomes of attempts.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,9 +8,9 @@
 use apricotwell_records::Finished;
 use apricotwell_types::{Ending, RequestId, Shard};
 
-/// Pause before a message without an answer is sent again.
+/// Delay before an unanswered message is sent again.
 const RESEND_DELAY: Duration = Duration::from_millis(300);
-/// Ends that may wait for being recorded.
+/// Largest number of outcomes that wait to be recorded.
 const MAX_UNRECORDED: usize = 10_000;
 
 #[derive(Debug)]
@@ -29,24 +29,24 @@
     sent: Option<Instant>,
 }
 
-/// What a request with an idempotency key may do.
+/// Result of a claim on an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimResult {
-    /// Dispatch once.
+    /// The attempt holds the claim and may be dispatched once.
     Granted,
-    /// Another attempt with the key is under way.
+    /// Another attempt with the key is in progress.
     Held,
     /// An attempt with the key was answered.
     Answered(Answer),
     /// An attempt with the key ended without an answer.
     Ended(Ending),
-    /// The key came with another body.
+    /// The key was already used with a different body.
     OtherBody,
-    /// The claim could not be recorded; nothing runs.
+    /// The claim could not be recorded, so the request must not run.
     Unavailable,
 }
 
-/// Asks under way and ends not yet recorded.
+/// Pending claims, and outcomes of attempts that are not yet recorded.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimClient {
     pending: BTreeMap<String, PendingClaim>,
@@ -54,7 +54,7 @@
 }
 
 impl ClaimClient {
-    /// Asks for a key on behalf of an attempt.
+    /// Starts to claim a key for an attempt.
     pub(crate) fn request(
         &mut self,
         request: RequestId,
@@ -79,7 +79,7 @@
         self.pending.insert(attempt.to_owned(), pending);
     }
 
-    /// Tells how an attempt ended.
+    /// Starts to report the outcome of an attempt to the lease holder.
     pub(crate) fn report_outcome(
         &mut self,
         shard: Shard,
@@ -88,7 +88,8 @@
         outcome: &Outcome,
     ) {
         if self.unrecorded.len() >= MAX_UNRECORDED {
-            // The claim stays without an outcome, which a repeat is told truthfully.
+            // The claim stays without an outcome; repeats are told that the attempt is in progress
+            // or that its outcome is unknown.
             return;
         }
         let end = UnrecordedOutcome {
@@ -99,7 +100,7 @@
         self.unrecorded.insert(attempt.to_owned(), end);
     }
 
-    /// Returns messages that are due, by shard, and requests whose claim took too long.
+    /// Returns the messages that are due, by shard, and the requests whose claim timed out.
     pub(crate) fn tick(&mut self, now: Instant) -> (Vec<(Shard, Message)>, Vec<RequestId>) {
         let due = |sent: Option<Instant>| sent.is_none_or(|sent| now >= sent + RESEND_DELAY);
         let mut messages = Vec::new();
@@ -122,7 +123,7 @@
         (messages, late)
     }
 
-    /// Takes a reply; `None` when it answers nothing that is waited for.
+    /// Handles a reply; returns `None` when it settles no pending claim.
     pub(crate) fn on_reply(&mut self, reply: &ClaimReply) -> Option<(RequestId, ClaimResult)> {
         let result = match ClaimVerdict::try_from(reply.verdict) {
             Ok(ClaimVerdict::Granted) => ClaimResult::Granted,
@@ -130,19 +131,21 @@
             Ok(ClaimVerdict::OtherBody) => ClaimResult::OtherBody,
             Ok(ClaimVerdict::Unavailable) => ClaimResult::Unavailable,
             Ok(ClaimVerdict::Ended) => recorded_result(reply.finished.as_ref()?),
-            // The lease has moved: the next tick asks its new holder.
+            // The lease has moved, so a later tick sends the claim to the new holder.
             Ok(ClaimVerdict::NotHolder | ClaimVerdict::Unspecified) | Err(_) => return None,
         };
         let pending = self.pending.remove(&reply.attempt)?;
         Some((pending.request, result))
     }
 
-    /// Notes that the end of an attempt is recorded.
+    /// Handles the confirmation that the outcome of an attempt is recorded.
     pub(crate) fn on_outcome_recorded(&mut self, attempt: &str) {
         self.unrecorded.remove(attempt);
     }
 
-    /// Gives up an ask. Its claim may be recorded all the same, so its end is told as not run.
+    /// Cancels a pending claim.
+    ///
+    /// The claim may still be recorded, so the attempt is reported as not run.
     pub(crate) fn cancel(&mut self, attempt: &str) {
         let Some(pending) = self.pending.remove(attempt) else {
             return;
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Returns how many ends wait for being recorded.
+    /// Returns the number of outcomes that wait to be recorded.
     pub(crate) fn unrecorded(&self) -> usize {
         self.unrecorded.len()
     }
--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -1,4 +1,4 @@
-//! Claims as the holder of their shards: folds claim streams and answers asks.
+//! Lease holder's side of the claim protocol: applies claim streams and answers claims.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -15,15 +15,15 @@
 
 use crate::Action;
 
-/// Pause before an append or a read is repeated.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Time without an append's outcome after which the asks in it are turned away.
+/// Delay before an append is repeated; an unanswered read is repeated after five times as long.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Time after which a claim without a verdict is rejected as unavailable.
 const MAX_CLAIM_AGE: Duration = Duration::from_secs(2);
-/// Time that an ask waits for the end of another attempt with its key.
+/// Time that a claim waits for the outcome of another attempt with its key.
 const MAX_HELD_WAIT: Duration = Duration::from_millis(1000);
-/// Records in one append.
+/// Largest number of claims, outcomes or rewritten claims in one append.
 const MAX_GROUP: usize = 64;
-/// Asks and ends that may wait on one shard.
+/// Largest number of claims, and of outcomes, that wait on one shard.
 const MAX_QUEUE: usize = 4096;
 
 /// Reply to an instance, which may be this one.
@@ -46,9 +46,9 @@
 struct InFlight {
     ticket: u64,
     records: Vec<Vec<u8>>,
-    // Last offset of the group once it is appended.
+    // Offset of the group's last record, once it is appended.
     last: Option<Offset>,
-    // When the same bytes go again, their outcome being unknown.
+    // When the same bytes are appended again, because the outcome is unknown.
     retry: Option<Instant>,
     // Whether an earlier append of the group may still take effect.
     uncertain: bool,
@@ -60,8 +60,8 @@
 ///
 /// # Invariants
 ///
-/// A verdict is given only from a table that contains the ask's own record or an earlier claim of
-/// its key, and whose highest opened fence is this holder's.
+/// A verdict comes only from a table that contains the record of the claim itself or of an earlier
+/// claim on its key, and whose highest opened fence is the fence of this holder.
 #[derive(Debug)]
 struct HeldShard {
     fence: Fence,
@@ -71,11 +71,11 @@
     in_flight: Option<InFlight>,
     reading: Option<Instant>,
     pause_until: Option<Instant>,
-    // Whether this holder's term has been appended.
+    // Whether the record that opens this holder's term has been appended.
     opening: bool,
-    // Claims that stand below this offset are to be written anew.
+    // Claims recorded below this offset must be rewritten.
     republish_below: Offset,
-    // End of the stream when claims were last written anew.
+    // End of the stream when the latest rewrite of claims began.
     republish_boundary: Offset,
     republish_at: Option<Instant>,
 }
@@ -87,7 +87,7 @@
 }
 
 impl ClaimCoordinator {
-    /// Takes an ask for a shard held under `fence`.
+    /// Handles a claim on a key in a shard held under `fence`.
     pub(crate) fn on_claim(
         &mut self,
         now: Instant,
@@ -114,7 +114,7 @@
         None
     }
 
-    /// Takes the end of an attempt for a shard held under `fence`.
+    /// Handles the outcome of an attempt in a shard held under `fence`.
     pub(crate) fn on_finish(
         &mut self,
         shard: Shard,
@@ -126,7 +126,7 @@
             return;
         };
         let held = self.shard(shard, fence);
-        // The attempt has been given up: claiming its key now would block the key for good.
+        // The attempt is over: claiming its key now would block the key forever.
         held.pending
             .retain(|waiting| waiting.claim.attempt != finished.attempt);
         let known = held
@@ -138,15 +138,15 @@
         }
     }
 
-    /// Returns replies and appends that are due.
+    /// Returns the replies, appends and reads that are due.
     ///
-    /// `is_gone` tells whether the process that made an attempt has ended.
+    /// `has_ended` returns whether the process that made an attempt has ended.
     pub(crate) fn tick<F>(
         &mut self,
         now: Instant,
         wall: Duration,
         memory: Duration,
-        tickets: &mut u64,
+        last_ticket: &mut u64,
         has_ended: F,
     ) -> (Vec<Reply>, Vec<Action>)
     where
@@ -160,13 +160,13 @@
             held.table.forget(oldest);
             held.reject_expired(now, &mut replies);
             held.send_verdicts(now, &has_ended, &mut replies);
-            actions.extend(held.append(now, *shard, wall_ms, tickets));
+            actions.extend(held.append(now, *shard, wall_ms, last_ticket));
             actions.extend(held.read(now, *shard));
         }
         (replies, actions)
     }
 
-    /// Takes the outcome of an append.
+    /// Handles the result of an append.
     pub(crate) fn on_appended(
         &mut self,
         now: Instant,
@@ -185,20 +185,21 @@
         };
         match result {
             Ok(first) => in_flight.last = Some(first + in_flight.records.len() as Offset - 1),
-            // What was refused this time may have been taken the time before.
+            // After an uncertain append a rejection proves nothing: the earlier one may have
+            // succeeded.
             Err(AppendError::NotAppended) if !in_flight.uncertain => {
                 held.in_flight = None;
                 held.opening = false;
-                held.pause_until = Some(now + RETRY_PAUSE);
+                held.pause_until = Some(now + RETRY_DELAY);
             }
             Err(_) => {
                 in_flight.uncertain = true;
-                in_flight.retry = Some(now + RETRY_PAUSE);
+                in_flight.retry = Some(now + RETRY_DELAY);
             }
         }
     }
 
-    /// Takes the outcome of a read.
+    /// Handles the result of a read.
     pub(crate) fn on_read(
         &mut self,
         now: Instant,
@@ -214,9 +215,9 @@
         }
     }
 
-    /// Gives up the shards for which `fence_of` no longer gives their fence.
+    /// Drops the shards for which `fence_of` no longer returns their fence.
     ///
-    /// Asks under way are dropped: the new holder finds what they appended.
+    /// Their pending claims are dropped too; the new holder finds those that were appended.
     pub(crate) fn retain<F>(&mut self, fence_of: F)
     where
         F: Fn(Shard) -> Option<Fence>,
@@ -225,7 +226,7 @@
             .retain(|shard, held| fence_of(*shard) == Some(held.fence));
     }
 
-    /// Keeps a shard open under `fence`, and has claims older than one `period` written anew.
+    /// Keeps a shard open under `fence`, and rewrites claims that are older than one `period`.
     pub(crate) fn keep_open(&mut self, now: Instant, shard: Shard, fence: Fence, period: Duration) {
         let held = self.shard(shard, fence);
         let due = held.republish_at.get_or_insert(now + period);
@@ -270,7 +271,7 @@
         }
     }
 
-    // Only a table that contains this holder's own opening has seen all earlier claims.
+    // A table has seen all earlier claims only if it contains the record that opened this term.
     fn is_open(&self) -> bool {
         self.table.fence() == self.fence
     }
@@ -315,7 +316,8 @@
             else {
                 return true;
             };
-            // The attempt that holds the key mostly ends soon, and its answer serves this ask too.
+            // The attempt that holds the key usually ends soon, and its answer serves this claim
+            // too.
             if verdict == ClaimVerdict::Held && now < waiting.since + MAX_HELD_WAIT {
                 return true;
             }
@@ -343,7 +345,7 @@
         now: Instant,
         shard: Shard,
         wall_ms: u64,
-        tickets: &mut u64,
+        last_ticket: &mut u64,
     ) -> Option<Action> {
         if let Some(in_flight) = &mut self.in_flight {
             if in_flight.last.is_some_and(|last| self.table.next() > last) {
@@ -379,9 +381,9 @@
         if records.is_empty() {
             return None;
         }
-        *tickets += 1;
+        *last_ticket += 1;
         let in_flight = InFlight {
-            ticket: *tickets,
+            ticket: *last_ticket,
             records,
             last: None,
             retry: None,
@@ -417,13 +419,13 @@
         bodies
     }
 
-    // Reads while something that was appended has not been seen.
+    // Reads the stream until it has returned everything that was appended.
     fn read(&mut self, now: Instant, shard: Shard) -> Option<Action> {
         let appended = self
             .in_flight
             .as_ref()
             .is_some_and(|in_flight| in_flight.last.is_some());
-        if !appended || self.reading.is_some_and(|at| now < at + RETRY_PAUSE * 5) {
+        if !appended || self.reading.is_some_and(|at| now < at + RETRY_DELAY * 5) {
             return None;
         }
         self.reading = Some(now);
@@ -446,14 +448,14 @@
                     }
                 }
             }
-            // Claims are written anew before they are dropped, so what is gone has aged out.
+            // Claims are rewritten before the log drops them, so only expired ones are missing.
             Err(ReadError::Expired(first)) => self.table.skip_to(first),
             Err(ReadError::Unreachable) => self.reading = Some(now),
         }
     }
 }
 
-// Returns the verdict on an ask, `None` while its record must be appended or read back.
+// Returns the verdict on a claim; `None` until its record is appended and read back.
 fn decide<F>(
     table: &ClaimTable,
     outcomes: &mut Vec<PendingOutcome>,
@@ -477,7 +479,7 @@
             Some((ClaimVerdict::Ended, Some(finished)))
         }
         Verdict::Held(attempt) if has_ended(&attempt) => {
-            // Its process ended without telling; nobody will ever know more.
+            // The process ended without reporting an outcome, so the outcome stays unknown.
             let unknown = Outcome::Ended(Ending::OutcomeUnknown).to_record(key, &attempt);
             if !outcomes.iter().any(|end| end.finished.attempt == attempt) {
                 outcomes.push(PendingOutcome {
@@ -491,7 +493,8 @@
     }
 }
 
-// An end is recorded when its claim has an outcome or is gone, as after not run.
+// An outcome is recorded once its claim has an outcome, or no longer exists because the attempt
+// did not run.
 fn is_recorded(table: &ClaimTable, finished: &Finished) -> bool {
     let Some(key) = BodyDigest::from_slice(&finished.key) else {
         return true;
--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -1,4 +1,4 @@
-//! This instance's place in the fleet: members, freshness and leases.
+//! This instance's view of the fleet: members, freshness of the log and leases.
 
 use std::time::{Duration, Instant};
 
@@ -16,18 +16,18 @@
 use crate::order_manager::HeldTerm;
 use crate::token_manager::TermStart;
 
-/// Time in which a new instance lets the members on the list answer before it takes leases.
+/// Longest time that a new instance waits for all listed members before it takes leases.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Statements of others on one answer.
+/// Largest number of other members' statements relayed in one answer.
 const MAX_RELAYED: usize = 24;
-/// Windows without contact to the log after which an instance counts as unable to decide.
+/// Evidence windows without contact to the log after which a member loses its leases.
 const LOST_WINDOWS: u32 = 3;
-/// Time for which a shard is kept before it is handed on: by then its last holder's leaving is known
-/// here, and the shard is not handed back.
+/// Time for which a shard is held before it is handed over. By then this instance knows if the
+/// previous holder is leaving, and does not hand the shard back to it.
 const MIN_TERM: Duration = Duration::from_secs(3);
 
-/// Members, freshness of the view, and standing on duty shards.
+/// Members, freshness of the log view, and leases on shards.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     own_id: InstanceId,
@@ -40,9 +40,9 @@
     listed: Vec<InstanceId>,
     leaving: bool,
     started: Instant,
-    // When this instance last reached the log itself.
+    // When this instance itself last reached the log.
     last_contact: Option<Instant>,
-    // Which statements of others the next answer passes on.
+    // Position of the first statement that the next answer relays.
     next_relayed: usize,
 }
 
@@ -101,13 +101,13 @@
         self.freshness.contact_age(now)
     }
 
-    /// Returns a peer that has applied records which this instance lacks.
+    /// Returns a peer that has applied records which this instance does not have.
     pub(crate) fn peer_ahead(&self, now: Instant) -> Option<Contact> {
         let peer = self.freshness.peer_ahead(now)?;
         self.contact(peer)
     }
 
-    /// Returns any peer that answers.
+    /// Returns a peer that is alive and has been in contact, if any.
     pub(crate) fn any_peer(&self) -> Option<Contact> {
         let mut alive = self.membership.members().filter(|member| {
             member.news.state == MemberState::Alive && member.news.incarnation > 0
@@ -124,7 +124,7 @@
         &self.membership
     }
 
-    /// Returns the members that a caller may be sent to, this one included.
+    /// Returns the ids and zones of the members that accept clients, this one included.
     pub(crate) fn ready_members(&self) -> Vec<(InstanceId, String)> {
         let peers = self.membership.members().filter(|member| {
             member.news.state == MemberState::Alive && member.news.incarnation > 0
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Begins to drain and returns what tells the members of it.
+    /// Starts to drain and returns the messages that announce it to the members.
     pub(crate) fn leave(&mut self, now: Instant, next: Offset) -> Vec<(Contact, Envelope)> {
         self.leaving = true;
         let out = self.membership.leave(now);
@@ -179,7 +179,7 @@
         self.envelopes(now, next, out)
     }
 
-    /// Takes the membership part of a message and returns what to send.
+    /// Handles the membership part of a message and returns the messages to send.
     pub(crate) fn receive(
         &mut self,
         now: Instant,
@@ -197,9 +197,9 @@
                 self.apply_evidence(ack.number, &sender.contact.id, envelope);
                 Probe::Ack { number: ack.number }
             }
-            Some(Message::PingFor(ask)) => Probe::PingFor {
-                number: ask.number,
-                target: ask.target.as_str().into(),
+            Some(Message::PingFor(request)) => Probe::PingFor {
+                number: request.number,
+                target: request.target.as_str().into(),
             },
             _ => return Vec::new(),
         };
@@ -208,8 +208,9 @@
         self.envelopes(now, next, out)
     }
 
-    // Only an answer to an own ping counts: its beginning is known by this instance's clock. The
-    // ages of what others said count from then, so that nothing is taken for newer than it was.
+    // Accepts evidence only in an answer to a ping of this instance, whose sending time is known by
+    // the local clock. Ages of relayed evidence count from that time, so that no evidence appears
+    // newer than it is.
     fn apply_evidence(&mut self, number: u64, peer: &InstanceId, envelope: &Envelope) {
         let Some(asked) = self.membership.ping_sent(number, peer) else {
             return;
@@ -223,26 +224,26 @@
             };
             self.freshness.note_peer(peer.clone(), evidence);
         }
-        for heard in &envelope.heard {
-            let Some(asked) = asked.checked_sub(Duration::from_millis(heard.age_ms)) else {
+        for relayed in &envelope.heard {
+            let Some(asked) = asked.checked_sub(Duration::from_millis(relayed.age_ms)) else {
                 continue;
             };
-            if *heard.member == *self.own_id {
+            if *relayed.member == *self.own_id {
                 continue;
             }
             let evidence = Evidence {
                 asked,
-                next: heard.next,
-                contact_age: heard.contact_ms.map(Duration::from_millis),
-                direct_age: heard.direct_ms.map(Duration::from_millis),
+                next: relayed.next,
+                contact_age: relayed.contact_ms.map(Duration::from_millis),
+                direct_age: relayed.direct_ms.map(Duration::from_millis),
             };
             self.freshness
-                .note_peer(heard.member.as_str().into(), evidence);
+                .note_peer(relayed.member.as_str().into(), evidence);
         }
     }
 
-    // Some of what others said, in turn, so that a statement reaches everybody though each member
-    // probes few others.
+    // Returns some statements of other members, in rotation. This way a statement reaches every
+    // member, although each member probes only a few others.
     fn relay_evidence(&mut self, now: Instant) -> Vec<HeardEvidence> {
         let mut statements: Vec<(&InstanceId, &Evidence)> =
             self.freshness.statements(now).collect();
@@ -250,18 +251,19 @@
         let count = statements.len();
         let first = self.next_relayed;
         self.next_relayed = first.wrapping_add(MAX_RELAYED);
-        let turn = (0..count.min(MAX_RELAYED)).map(|index| statements[(first + index) % count]);
-        turn.map(|(peer, evidence)| HeardEvidence {
-            member: peer.to_string(),
-            next: evidence.next,
-            age_ms: now.saturating_duration_since(evidence.asked).as_millis() as u64 + 1,
-            contact_ms: evidence.contact_age.map(|age| age.as_millis() as u64),
-            direct_ms: evidence.direct_age.map(|age| age.as_millis() as u64),
-        })
-        .collect()
+        let selected = (0..count.min(MAX_RELAYED)).map(|index| statements[(first + index) % count]);
+        selected
+            .map(|(peer, evidence)| HeardEvidence {
+                member: peer.to_string(),
+                next: evidence.next,
+                age_ms: now.saturating_duration_since(evidence.asked).as_millis() as u64 + 1,
+                contact_ms: evidence.contact_age.map(|age| age.as_millis() as u64),
+                direct_ms: evidence.direct_age.map(|age| age.as_millis() as u64),
+            })
+            .collect()
     }
 
-    /// Returns a message in an envelope with this instance's news.
+    /// Wraps a message in an envelope with this instance's membership state and log evidence.
     pub(crate) fn envelope(&self, now: Instant, next: Offset, body: Message) -> Envelope {
         Envelope {
             sender: Some(News::from_update(self.membership.own())),
@@ -276,7 +278,7 @@
         let age = self.contact_age(now);
         LogEvidence {
             next,
-            // Rounded up, so that a peer never takes the contact for more recent than it was.
+            // Rounded up, so that the contact never appears more recent than it was.
             contact_ms: age.map(|age| age.as_millis() as u64 + 1),
             direct_ms: self.last_contact.map(|last_contact| {
                 now.saturating_duration_since(last_contact).as_millis() as u64 + 1
@@ -311,31 +313,33 @@
         envelopes
     }
 
-    /// Brings the standing on leases up to date.
+    /// Updates the leases from the state.
     pub(crate) fn refresh(&mut self, now: Instant, state: &State) {
         self.leases
             .refresh(now, state, &self.freshness, &self.listed);
     }
 
-    /// Returns the standing on a shard; ask again immediately before each effect.
+    /// Returns the state of this instance's lease on a shard.
+    ///
+    /// It can change at any time, so check it immediately before each side effect.
     pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> Standing {
         let until = self.freshness.leases_until(now, &self.listed, &self.own_id);
         self.leases.check(now, shard, until, self.window)
     }
 
-    /// Returns the fence of a recorded lease of this instance, effective right now or not.
+    /// Returns the fence of this instance's recorded lease, even if the lease is not effective.
     pub(crate) fn recorded_fence(&self, state: &State, shard: Shard) -> Option<Fence> {
         let lease = state.lease(shard)?;
         let own = lease.holder == self.own_id && lease.incarnation == self.incarnation;
         own.then_some(lease.fence)
     }
 
-    /// Returns the fence of a shard that may be acted on right now.
+    /// Returns the fence of a shard on which this instance holds an effective lease.
     pub(crate) fn fence(&self, now: Instant, shard: Shard) -> Option<Fence> {
         self.term(now, shard).map(|term| term.fence)
     }
 
-    /// Returns fence and end of the term of a shard that may be acted on right now.
+    /// Returns fence and end of the term of a shard on which this instance holds an effective lease.
     pub(crate) fn term(&self, now: Instant, shard: Shard) -> Option<HeldTerm> {
         match self.lease_state(now, shard) {
             Standing::Held { fence, until, .. } => Some(HeldTerm { fence, until }),
@@ -343,7 +347,7 @@
         }
     }
 
-    /// Returns how this instance came by a shard that it may act on right now.
+    /// Returns the beginning of the term of a shard on which this instance holds an effective lease.
     pub(crate) fn term_start(
         &self,
         now: Instant,
@@ -366,28 +370,29 @@
         self.leases.shards()
     }
 
-    /// Gives up a shard before its handover is recorded.
+    /// Releases a shard before its handover is recorded.
     pub(crate) fn release(&mut self, shard: Shard) {
         self.leases.release(shard);
     }
 
-    /// Takes released shards back, once the log has definitely not taken their handovers.
+    /// Takes released shards back after the log has definitely rejected their handovers.
     pub(crate) fn restore(&mut self) {
         self.leases.restore();
     }
 
-    /// Returns whether this instance reaches the log itself, so that it can append.
+    /// Returns whether this instance itself reaches the log and can therefore append.
     pub(crate) fn reaches_log(&self, now: Instant) -> bool {
         self.last_contact
             .is_some_and(|last_contact| now < last_contact + self.window)
     }
 
-    /// Plans lease records; only an instance that reaches the log can append them.
+    /// Plans the lease records to append; empty while this instance can't reach the log.
     pub(crate) fn plan(&self, now: Instant, state: &State) -> LeasePlan {
         if !self.reaches_log(now) {
             return LeasePlan::default();
         }
-        // A fleet that starts together would otherwise move most leases right after taking them.
+        // Instances that start at the same time would otherwise take leases before they know each
+        // other, and move most of them right afterwards.
         if now < self.started + SETTLE_TIME && !self.all_answered() {
             return LeasePlan::default();
         }
@@ -407,8 +412,9 @@
         })
     }
 
-    // A suspected member keeps its duties until it is declared dead. One that has not reached the
-    // log for two windows, while this instance does, can decide nothing and loses them.
+    // A suspected member keeps its leases until it is declared dead. A member that has not reached
+    // the log for `LOST_WINDOWS` windows, while this instance does, can't append records and loses
+    // its leases.
     fn live_members(&self, now: Instant) -> Vec<LiveMember> {
         let reaches_log = |id: &InstanceId| {
             let last_contact = self.freshness.direct_contact(id);
--- a/crates/apricotwell_node/src/lib.rs
+++ b/crates/apricotwell_node/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of one entry instance, without input or output.
+//! Decision logic of one entry instance, without any I/O.
 //!
-//! A [`Node`] takes what happened with the time at which it happened, and queues [`Action`]s for
-//! its shell to carry out. It holds no clock, socket, task or random source of its own, so tests
-//! drive many nodes in virtual time. Each concern is a struct of its own: [`Node`] only routes
-//! events between them.
+//! A [`Node`] receives events together with the time at which they happened, and queues
+//! [`Action`]s for its driver to carry out. It holds no clock, socket, task or unseeded random
+//! source, so tests can run many nodes in virtual time. Each concern has its own struct, and
+//! [`Node`] only routes events between them.
 //!
 //! # Examples
 //!
@@ -40,7 +40,7 @@
 pub use status::{InstanceStatus, LeaseStatus, ModelStatus, ReplicaStatus, ServerStatus, Status};
 pub use submission::{Submission, Target};
 
-/// What nearly every user of the crate needs.
+/// Re-exports the items that most users of the crate need.
 pub mod prelude {
     pub use crate::{
         Action, AttemptOutcome, Dispatch, EngineOrder, ListedServer, Node, NodeSettings, OrderKind,
--- a/crates/apricotwell_node/src/log_writer.rs
+++ b/crates/apricotwell_node/src/log_writer.rs
@@ -1,4 +1,4 @@
-//! Writes this instance's records to the control stream.
+//! Appends this instance's records to the control stream.
 
 use std::time::{Duration, Instant};
 
@@ -7,27 +7,28 @@
 
 use crate::Action;
 
-/// Records in one append.
+/// Largest number of records in one append.
 const MAX_GROUP: usize = 64;
-/// Pause before the same records are appended again.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Delay before records are appended again.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
 enum AppendState {
-    // Sent; no answer yet.
+    // Sent, no result yet.
     Sent,
-    // The log may have them; the same bytes go again at the given time.
+    // The outcome is unknown; the same bytes are appended again at the given time.
     Unknown(Instant),
-    // The log has them up to and including this offset.
+    // The log has the records; this is the offset of the last one.
     Appended(Offset),
 }
 
-/// Writes records one group at a time.
+/// Appends records in groups, one group at a time.
 ///
 /// # Invariants
 ///
-/// A group whose outcome is unknown is appended again with the same numbers until its outcome is
-/// known, before any later record: readers drop numbers that they have passed.
+/// A group whose outcome is unknown is appended again, with the same sequence numbers and before
+/// any later record, until its outcome is known. Readers skip sequence numbers that they have
+/// already passed.
 #[derive(Debug)]
 pub(crate) struct LogWriter {
     id: InstanceId,
@@ -40,7 +41,7 @@
     ticket: u64,
     // Whether an earlier append of the group may still take effect.
     uncertain: bool,
-    // No append before this time, after the log took nothing.
+    // Earliest time of the next append, set after the log rejected one.
     pause_until: Option<Instant>,
 }
 
@@ -60,8 +61,9 @@
         }
     }
 
-    /// Returns whether all records are appended and applied here; only then may anything be
-    /// planned from the state.
+    /// Returns whether all records are appended and applied by this instance.
+    ///
+    /// Only then may anything be planned from the state.
     pub(crate) fn is_idle(&self) -> bool {
         self.append_state.is_none() && self.queue.is_empty()
     }
@@ -70,8 +72,13 @@
         self.queue.push(body);
     }
 
-    /// Returns the next append; `next` is the first offset not yet applied.
-    pub(crate) fn tick(&mut self, now: Instant, next: Offset, tickets: &mut u64) -> Option<Action> {
+    /// Returns the append that is due, if any; `next` is the first offset not yet applied.
+    pub(crate) fn tick(
+        &mut self,
+        now: Instant,
+        next: Offset,
+        last_ticket: &mut u64,
+    ) -> Option<Action> {
         match self.append_state {
             Some(AppendState::Appended(last)) if next > last => self.append_state = None,
             Some(AppendState::Unknown(at)) if now >= at => {
@@ -92,14 +99,14 @@
             let record = Record::new(&self.id, self.incarnation, self.sequence, body.clone());
             self.bytes.push(record.to_bytes());
         }
-        *tickets += 1;
-        self.ticket = *tickets;
+        *last_ticket += 1;
+        self.ticket = *last_ticket;
         self.uncertain = false;
         self.append_state = Some(AppendState::Sent);
         Some(self.append())
     }
 
-    /// Takes the outcome of an append; returns whether it dropped this writer's plans.
+    /// Handles the result of an append and returns whether queued records were dropped.
     pub(crate) fn on_appended(
         &mut self,
         now: Instant,
@@ -115,22 +122,24 @@
                 self.append_state = Some(AppendState::Appended(last));
                 false
             }
-            // What was refused this time may have been taken the time before.
+            // After an uncertain append a rejection proves nothing: the earlier one may have
+            // succeeded.
             Err(AppendError::NotAppended) if !self.uncertain => {
                 self.append_state = None;
-                self.pause_until = Some(now + RETRY_PAUSE);
+                self.pause_until = Some(now + RETRY_DELAY);
                 self.keep_observations();
                 true
             }
             Err(_) => {
                 self.uncertain = true;
-                self.append_state = Some(AppendState::Unknown(now + RETRY_PAUSE));
+                self.append_state = Some(AppendState::Unknown(now + RETRY_DELAY));
                 false
             }
         }
     }
 
-    // Plans are made anew from the state; only a crash that was seen can't be derived again.
+    // Drops the records that will be derived again from the state. Observed crashes can't be
+    // derived, so they are kept.
     fn keep_observations(&mut self) {
         let observations = self.group.drain(..).chain(self.queue.drain(..));
         let observations = observations.filter(|body| matches!(body, Body::Suspect(_)));
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: routes events between the concerns and queues actions.
+//! The node routes events between its components and queues actions.
 
 mod coordination;
 mod failures;
@@ -33,21 +33,21 @@
 use crate::token_manager::TokenManager;
 use crate::{Action, InstanceStatus, NodeSettings};
 
-/// Records kept for peers that can't reach the log.
+/// Number of applied records kept for peers that can't reach the log.
 const MAX_RECENT_RECORDS: usize = 4096;
-/// Time between two plans while nothing happens.
+/// Time between two planning rounds while no event triggers one.
 const PLAN_PERIOD: Duration = Duration::from_millis(200);
-/// Time for which told demand counts, in demand periods.
+/// Time for which a demand report counts, in demand periods.
 const DEMAND_PERIODS: u32 = 8;
 
-/// Decisions of one entry instance.
+/// Decides what one entry instance does.
 ///
 /// # Invariants
 ///
-/// Nothing is planned from the state while a record of this instance is not yet applied here.
+/// The node plans from the state only when it has applied every record that it appended itself.
 pub struct Node {
     settings: NodeSettings,
-    // Wall time at `started`, to date claims and events.
+    // Wall time at `started`, for the timestamps of claims and events.
     wall_start: Duration,
     started: Instant,
     state: State,
@@ -67,10 +67,10 @@
     planner: Planner,
     recent_records: VecDeque<(Offset, Vec<u8>)>,
     snapshot: Assembler,
-    tickets: u64,
-    // When the keys in force were last known for certain.
+    last_ticket: u64,
+    // When the API keys were last known to be up to date.
     keys_confirmed: Instant,
-    // Whether the state has once reached the end of the log or a peer's snapshot.
+    // Whether the state has ever reached the end of the log or been restored from a peer.
     caught_up: bool,
     was_ready: bool,
     last_view: &'static str,
@@ -78,13 +78,13 @@
     next_plan: Instant,
     next_demand: Instant,
     next_catch_up: Instant,
-    checkpointed: Offset,
-    inbox: VecDeque<Envelope>,
+    last_checkpoint: Offset,
+    loopback: VecDeque<Envelope>,
     actions: Vec<Action>,
 }
 
 impl Node {
-    /// Returns a node that knows nothing; `wall` is the time since the Unix epoch at `now`.
+    /// Returns a node with an empty state; `wall` is the time since the Unix epoch at `now`.
     pub fn new(now: Instant, wall: Duration, settings: NodeSettings) -> Self {
         let fleet = Fleet::new(now, &settings);
         Self {
@@ -107,7 +107,7 @@
             planner: Planner::default(),
             recent_records: VecDeque::new(),
             snapshot: Assembler::default(),
-            tickets: 0,
+            last_ticket: 0,
             keys_confirmed: now,
             caught_up: false,
             was_ready: false,
@@ -116,8 +116,8 @@
             next_plan: now,
             next_demand: now,
             next_catch_up: now,
-            checkpointed: 0,
-            inbox: VecDeque::new(),
+            last_checkpoint: 0,
+            loopback: VecDeque::new(),
             actions: Vec::new(),
             settings,
         }
@@ -128,30 +128,31 @@
         &self.settings
     }
 
-    /// Returns the folded state.
+    /// Returns the state built from the applied records.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Returns the first offset of the control stream that is not applied.
+    /// Returns the first offset of the control stream that is not applied yet.
     pub fn next_offset(&self) -> Offset {
         self.state.next()
     }
 
-    /// Returns how far the view can be trusted.
+    /// Returns how far this instance's view of the log can be trusted.
     pub fn view(&self, now: Instant) -> View {
         self.fleet.view(now)
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether this instance accepts requests from clients.
     pub fn is_ready(&self, now: Instant) -> bool {
         !self.fleet.is_leaving() && self.can_check_keys(now)
     }
 
-    /// Returns whether the keys in force are known well enough to serve callers.
+    /// Returns whether the API keys are known well enough to authenticate clients.
     ///
-    /// With the log out for everyone nothing can have been withdrawn. When only most members say
-    /// so, the rest may have the log, and the answer holds for a limited time.
+    /// While every member reports that the log is unreachable, no key can have been withdrawn.
+    /// When only a majority reports it, the other members may still reach the log, so keys are
+    /// accepted for [`NodeSettings::key_grace`] only.
     pub(crate) fn can_check_keys(&self, now: Instant) -> bool {
         let grace = self.settings.key_grace;
         self.caught_up
@@ -162,45 +163,45 @@
             }
     }
 
-    /// Returns whether the instance drains.
+    /// Returns whether the instance is draining.
     pub fn is_leaving(&self) -> bool {
         self.fleet.is_leaving()
     }
 
-    /// Returns whether nothing is left to do for a draining instance.
+    /// Returns whether a draining instance has finished all its work.
     pub fn is_drained(&self) -> bool {
         let is_alone = self.fleet.any_peer().is_none();
         let holds_shards = !is_alone && !self.fleet.own_shards().is_empty();
         self.requests.len() == 0 && self.claim_client.unrecorded() == 0 && !holds_shards
     }
 
-    /// Returns whether this instance may act on a duty shard right now.
+    /// Returns whether this instance holds an effective lease on a shard.
     pub fn holds_shard(&self, now: Instant, shard: Shard) -> bool {
         self.fleet.fence(now, shard).is_some()
     }
 
-    /// Returns the number of accepted requests without an end.
+    /// Returns the number of accepted requests that have no outcome yet.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes the queued actions.
+    /// Removes and returns the queued actions.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes the platform's list of live entry instances.
+    /// Handles the platform's list of live entry instances.
     pub fn on_instances(&mut self, now: Instant, list: &[Contact]) {
         self.fleet.set_list(now, list);
     }
 
-    /// Takes the platform's list of backend servers.
+    /// Handles the platform's list of backend servers.
     pub fn on_servers(&mut self, now: Instant, list: Vec<crate::ListedServer>) {
         self.servers.set_list(list);
         self.dispatch_queued(now);
     }
 
-    /// Begins to drain: hands over duties and takes no new ones.
+    /// Starts to drain: hands over held shards and takes no new ones.
     pub fn leave(&mut self, now: Instant) {
         if !self.fleet.is_leaving() {
             let messages = self.fleet.leave(now, self.state.next());
@@ -211,9 +212,10 @@
         }
     }
 
-    /// Takes the outcome of a read of the control stream that began at `began`.
+    /// Handles the result of a read of the control stream that began at `began`.
     ///
-    /// Returns whether the records were dropped, so that a checkpoint must be read first.
+    /// Returns whether the log has dropped the needed records, so that a checkpoint must be read
+    /// first.
     pub fn on_control_read(
         &mut self,
         now: Instant,
@@ -240,10 +242,10 @@
         false
     }
 
-    /// Takes a chunk from the checkpoint stream.
+    /// Handles a chunk from the checkpoint stream.
     ///
-    /// Returns whether the chunk completed a checkpoint that was used. A torn or competing one is
-    /// harmless.
+    /// Returns whether the chunk completed a checkpoint that replaced the state. Incomplete and
+    /// interleaved checkpoints are ignored.
     pub fn on_checkpoint_chunk(&mut self, now: Instant, bytes: &[u8]) -> bool {
         let Ok(chunk) = prost::Message::decode(bytes) else {
             return false;
@@ -254,7 +256,7 @@
         match restore(&bytes, &self.settings.genesis) {
             Ok(state) if state.next() > self.state.next() => {
                 self.state = state;
-                self.checkpointed = self.state.next();
+                self.last_checkpoint = self.state.next();
                 self.recent_records.clear();
                 self.fleet.set_applied(self.state.next());
                 self.after_apply(now);
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Takes the outcome of an append.
+    /// Handles the result of an append.
     pub fn on_appended(&mut self, now: Instant, ticket: u64, result: Result<Offset, AppendError>) {
         self.claim_coordinator.on_appended(now, ticket, result);
         if self.writer.on_appended(now, ticket, result) {
@@ -274,7 +276,7 @@
         self.flush(now);
     }
 
-    /// Takes the outcome of a read of a claim stream.
+    /// Handles the result of a read of a claim stream.
     pub fn on_claims_read(
         &mut self,
         now: Instant,
@@ -286,7 +288,7 @@
         self.flush(now);
     }
 
-    /// Lets time pass; call it every few tens of milliseconds.
+    /// Handles everything that is due at `now`; must be called every few tens of milliseconds.
     pub fn tick(&mut self, now: Instant) {
         let probes = self.fleet.tick(now, self.state.next());
         for (to, envelope) in probes {
@@ -303,23 +305,24 @@
         self.flush(now);
     }
 
-    /// Returns the standing of this instance on a shard.
+    /// Returns the state of this instance's lease on a shard.
     pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> Standing {
         self.fleet.lease_state(now, shard)
     }
 
-    /// Returns the requests waiting and running for a model, as told to its holder.
+    /// Returns the numbers of waiting and running requests for a model, as reported to its lease
+    /// holder.
     pub(crate) fn model_demand(&self, now: Instant, model: &str) -> (u32, u32) {
         let waiting = self.demand.waiting(now, model);
         (waiting, self.demand.running(now, model))
     }
 
-    /// Returns why a wanted model is not being loaded.
+    /// Returns why a requested model is not being loaded.
     pub(crate) fn placement_reason(&self, model: &str) -> Option<&str> {
         self.planner.reason(model)
     }
 
-    /// Returns this instance's own part of its status.
+    /// Returns the status of the instance itself.
     pub(crate) fn instance_status(&self, now: Instant) -> InstanceStatus {
         let member = |member: &Member| {
             let state = format!("{:?}", member.news.state).to_lowercase();
@@ -341,10 +344,10 @@
         }
     }
 
-    /// Returns the open instances for callers in `zone`, best first.
+    /// Returns the instances that accept clients, those preferred for `zone` first.
     ///
-    /// The order is stable for one organisation and model, so that their traffic meets few
-    /// instances.
+    /// Instances of the zone come first. Within a zone the order depends only on `affinity`, so
+    /// that the traffic of one organisation and model goes to few instances.
     pub fn ranked_instances(&self, now: Instant, zone: &str, affinity: &str) -> Vec<InstanceId> {
         let item = u64::from(shard_of(affinity, Shard::MAX));
         let mut open = self.fleet.ready_members();
@@ -359,7 +362,8 @@
     }
 
     fn apply_records(&mut self, now: Instant, first: Offset, records: Vec<Vec<u8>>) {
-        // A gap means that records are missing; applying what follows would diverge for good.
+        // Records are missing before `first`: applying the batch would make this state diverge
+        // from that of the other instances permanently.
         if first > self.state.next() {
             return;
         }
@@ -381,18 +385,18 @@
         self.orders.retain(now, &self.state);
         self.servers.retain(&self.state);
         self.dispatch_queued(now);
-        // What the records call for, such as the order that follows a decision, is done at once.
+        // Follow-up work, such as the load order after a placement decision, starts at once.
         self.next_plan = now;
         self.run_coordination(now);
         self.flush(now);
     }
 
-    // Sends the next group of records and delivers messages to this instance itself.
+    // Appends the next group of records and delivers the messages that this instance sent to itself.
     fn flush(&mut self, now: Instant) {
         let next = self.state.next();
-        let append = self.writer.tick(now, next, &mut self.tickets);
+        let append = self.writer.tick(now, next, &mut self.last_ticket);
         self.actions.extend(append);
-        while let Some(envelope) = self.inbox.pop_front() {
+        while let Some(envelope) = self.loopback.pop_front() {
             self.receive_body(now, envelope);
         }
     }
@@ -400,7 +404,7 @@
     fn send(&mut self, now: Instant, to: &InstanceId, body: Message) {
         let envelope = self.fleet.envelope(now, self.state.next(), body);
         if *to == self.settings.id {
-            self.inbox.push_back(envelope);
+            self.loopback.push_back(envelope);
         } else if let Some(to) = self.fleet.contact(to) {
             self.actions.push(Action::Send { to, envelope });
         }
--- a/crates/apricotwell_node/src/node/coordination.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -1,4 +1,4 @@
-//! Duties of held shards: leases, servers, placement, orders and checkpoints.
+//! Work of a shard's lease holder: leases, servers, placement, orders and checkpoints.
 
 use std::time::Instant;
 
@@ -15,13 +15,13 @@
 use crate::order_manager::OrderView;
 use crate::{Action, OrderKind, OrderOutcome, ServerReport};
 
-/// Part of the log's retention after which claims are written anew.
+/// Claims are rewritten once per log retention divided by this number.
 const REPUBLISH_DIVISOR: u32 = 4;
-/// Shard whose holder writes checkpoints.
+/// Shard whose lease holder writes checkpoints.
 const CHECKPOINT_SHARD: u32 = 0;
 
 impl Node {
-    /// Takes a report of an engine, `None` when it could not be reached.
+    /// Handles an engine's report, or `None` when the engine could not be reached.
     pub fn on_report(&mut self, now: Instant, server: &ServerId, report: Option<ServerReport>) {
         if let Some(report) = &report {
             let load = apricotwell_routing::LoadReport {
@@ -44,7 +44,7 @@
         self.flush(now);
     }
 
-    /// Takes the outcome of an order.
+    /// Handles the outcome of an order.
     pub fn on_order_ended(&mut self, now: Instant, ticket: u64, outcome: OrderOutcome) {
         let Some((replica, kind)) = self.orders.on_ended(ticket, outcome) else {
             return;
@@ -77,7 +77,8 @@
         let fleet = &self.fleet;
         let state = &self.state;
         let shards = self.settings.genesis.shards;
-        // A bucket outlives a lapse of the view: made anew within its term it would be too full.
+        // Buckets are kept by the recorded lease, even while this instance may not act on it: a
+        // bucket that is recreated within its term would hold too many tokens.
         let fence_of = |org: &str| fleet.recorded_fence(state, shard_of(org, shards));
         self.tokens.retain(now, fence_of);
         self.keep_claims_open(now);
@@ -88,8 +89,8 @@
         }
     }
 
-    // Every held claim shard is kept open, so that its claims are written anew before the log
-    // drops them, whether or not anybody asks.
+    // Keeps every held claim shard open, so that its claims are rewritten before the log drops
+    // them, even if no request needs one.
     fn keep_claims_open(&mut self, now: Instant) {
         let period = self.settings.log_retention / REPUBLISH_DIVISOR;
         for shard in self.fleet.own_shards() {
@@ -99,8 +100,8 @@
         }
     }
 
-    // Everything here follows from the state anew each time, so nothing is lost when an append
-    // fails or the lease moves.
+    // All of these records are derived from the state in each round, so nothing is lost when an
+    // append fails or the lease moves.
     fn write_records(&mut self, now: Instant) {
         let plan = self.fleet.plan(now, &self.state);
         for take in plan.hand {
@@ -126,7 +127,8 @@
         self.write_checkpoint(now);
     }
 
-    // The bucket goes ahead of the lease: the new holder finds it there when it reads the lease.
+    // Sends the buckets before the lease record, so that the new holder has them when it reads the
+    // lease.
     fn hand_over(&mut self, now: Instant, take: Take) {
         let shards = self.settings.genesis.shards;
         for shard in &take.shards {
@@ -147,7 +149,7 @@
         let fence_of = |model: &str| fleet.fence(now, state.model_shard(model));
         self.demand.retain(|model| fence_of(model).is_some());
         for (_, replica) in state.ledger().replicas() {
-            // A new holder does not know the model's use: it counts as used now.
+            // A new lease holder does not know when the model was last used, so it assumes now.
             if fence_of(&replica.model).is_some() && self.demand.last_use(&replica.model).is_none()
             {
                 self.demand.touch(now, &replica.model);
@@ -231,22 +233,27 @@
         let state = &self.state;
         let shards = self.settings.genesis.shards;
         let term_of = |model: &str| fleet.term(now, state.model_shard(model));
-        let tickets = &mut self.tickets;
+        let last_ticket = &mut self.last_ticket;
         let view = OrderView {
             now,
             state,
             servers: &self.servers,
         };
-        let mut orders = self.orders.due_orders(&view, tickets, term_of);
+        let mut orders = self.orders.due_orders(&view, last_ticket, term_of);
         let is_held = |id: &ServerId| fleet.fence(now, shard_of(id, shards)).is_some();
         for unknown in self.servers.unknown_replicas(state, is_held) {
             let term = fleet.term(now, shard_of(&unknown.0, shards));
             let report = self.servers.report(&unknown.0);
             if let (Some(term), Some((_, report))) = (term, report) {
                 let incarnation = report.incarnation;
-                let order =
-                    self.orders
-                        .unload_unknown(now, state, unknown, incarnation, &term, tickets);
+                let order = self.orders.unload_unknown(
+                    now,
+                    state,
+                    unknown,
+                    incarnation,
+                    &term,
+                    last_ticket,
+                );
                 orders.extend(order);
             }
         }
@@ -267,8 +274,8 @@
         }
     }
 
-    // A daemon watches the servers of its shards, those with its orders, and those that a model
-    // which waits for a load could go to.
+    // Polls the servers of held shards, those with pending orders of this instance, and those of
+    // the pools that requested models could be loaded in.
     fn poll_servers(&mut self, now: Instant) {
         let fleet = &self.fleet;
         let state = &self.state;
@@ -292,14 +299,14 @@
         }
     }
 
-    // A torn or repeated checkpoint is harmless, so its append needs no outcome.
+    // Readers ignore incomplete and repeated checkpoints, so the append needs no result.
     fn write_checkpoint(&mut self, now: Instant) {
         let next = self.state.next();
-        let due = next >= self.checkpointed + self.settings.checkpoint_records;
+        let due = next >= self.last_checkpoint + self.settings.checkpoint_records;
         if !due || self.fleet.fence(now, CHECKPOINT_SHARD).is_none() {
             return;
         }
-        self.checkpointed = next;
+        self.last_checkpoint = next;
         let chunks = chunk_checkpoint(&self.state, &self.settings.id, self.settings.incarnation);
         let records = chunks.iter().map(|chunk| chunk.encode_to_vec()).collect();
         self.actions.push(Action::Append {
--- a/crates/apricotwell_node/src/node/failures.rs
+++ b/crates/apricotwell_node/src/node/failures.rs
@@ -1,4 +1,4 @@
-//! Requests that fail, expire or are refused.
+//! Failed, expired and rejected requests.
 
 use std::time::{Duration, Instant};
 
@@ -7,12 +7,12 @@
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
 
 use super::Node;
-use super::serving::BUSY_RETRY;
+use super::serving::BUSY_RETRY_DELAY;
 use crate::requests::{Request, Stage};
 use crate::{Action, AttemptOutcome, Target};
 
-/// Time in which a poll must tell whether a server crashed.
-const CRASH_CHECK: Duration = Duration::from_millis(1500);
+/// Time within which a poll must show whether a server crashed.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Node {
     pub(super) fn retry_or_fail(
@@ -51,7 +51,7 @@
         let event = Event::new(EventKind::RequestRetried).with_request(self.request_name(id));
         self.event(now, event);
         if broken && is_engine {
-            let until = now + CRASH_CHECK;
+            let until = now + CRASH_CHECK_TIMEOUT;
             if let Some(request) = self.requests.get_mut(id) {
                 request.stage = Stage::CheckingCrash {
                     server: server.clone(),
@@ -66,14 +66,14 @@
     pub(super) fn fail(&mut self, now: Instant, id: RequestId, end: &AttemptOutcome) {
         let ending = end.ending().unwrap_or(Ending::OutcomeUnknown);
         let message = match end {
-            AttemptOutcome::Failed => "the backend server ran the request and failed",
+            AttemptOutcome::Failed => "the backend server ran the request and reported a failure",
             AttemptOutcome::Stalled { .. } => "the backend server made no progress in time",
             _ => "the connection to the backend server broke while it ran the request",
         };
         let refusal = Refusal::not_run(RefusalKind::BackendFailed, message).with_ending(ending);
         let refusal = match self.requests.get(id) {
             Some(request) if request.submission.class.is_repeatable() => {
-                refusal.with_retry_after(BUSY_RETRY)
+                refusal.with_retry_after(BUSY_RETRY_DELAY)
             }
             _ => refusal,
         };
@@ -108,19 +108,19 @@
         };
         let message = match request.stage {
             Stage::AwaitingTokens => {
-                "no tokens could be had before the deadline; allow more time or come back later"
+                "no tokens became available before the deadline; allow more time or retry later"
             }
             _ => {
-                "no backend server was free before the deadline; allow more time or come back later"
+                "no backend server became free before the deadline; allow more time or retry later"
             }
         };
         let refusal = Refusal::not_run(RefusalKind::DeadlineExceeded, message);
-        self.refuse(now, id, refusal.with_retry_after(BUSY_RETRY));
+        self.refuse(now, id, refusal.with_retry_after(BUSY_RETRY_DELAY));
     }
 
     pub(super) fn refuse_rate_limited(&mut self, now: Instant, id: RequestId, wait: Duration) {
         let message = format!(
-            "your organisation is over its rate; the tokens are there in about {} ms",
+            "your organisation exceeded its rate limit; enough tokens are available in about {} ms",
             wait.as_millis()
         );
         let refusal = Refusal::not_run(RefusalKind::OverRate, message).with_retry_after(wait);
@@ -147,7 +147,7 @@
         self.actions.push(Action::Refuse { request, refusal });
     }
 
-    // Takes a request out of wherever it waits. `used` tokens of its reservation stay spent.
+    // Removes a request from whatever it waits for. Of its reservation, `used` tokens stay spent.
     pub(super) fn drop_request(
         &mut self,
         now: Instant,
--- a/crates/apricotwell_node/src/node/idempotency.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -1,4 +1,4 @@
-//! Requests that must claim their idempotency key.
+//! Claims on idempotency keys, and the requests that need one before they run.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
 
 use super::Node;
-use super::serving::BUSY_RETRY;
+use super::serving::BUSY_RETRY_DELAY;
 use crate::Action;
 use crate::claim_client::ClaimResult;
 use crate::requests::Stage;
@@ -59,35 +59,36 @@
             }
             ClaimResult::Held => Refusal::not_run(
                 RefusalKind::KeyInUse,
-                "a request with this Idempotency-Key is under way; repeat it later for its outcome",
+                "a request with this Idempotency-Key is still in progress; retry later to get its \
+                 outcome",
             )
             .with_ending(Ending::OutcomeUnknown)
-            .with_retry_after(BUSY_RETRY),
+            .with_retry_after(BUSY_RETRY_DELAY),
             ClaimResult::Ended(ending) => Refusal::not_run(
                 RefusalKind::BackendFailed,
-                "a request with this Idempotency-Key ended without an answer and is not run again",
+                "a request with this Idempotency-Key ended without an answer and will not run again",
             )
             .with_ending(ending),
             ClaimResult::OtherBody => Refusal::not_run(
                 RefusalKind::KeyReused,
-                "this Idempotency-Key came before with another body; use a new key",
+                "this Idempotency-Key was already used with a different body; use a new key",
             ),
             ClaimResult::Unavailable => {
                 let attempt = request.attempt.clone();
                 self.claim_client.cancel(&attempt);
                 Refusal::not_run(
                     RefusalKind::ClaimUnavailable,
-                    "the request could not be claimed, so it was not run; repeat it with the same \
-                     Idempotency-Key",
+                    "the Idempotency-Key could not be claimed, so the request was not run; retry \
+                     with the same key",
                 )
-                .with_retry_after(BUSY_RETRY)
+                .with_retry_after(BUSY_RETRY_DELAY)
             }
         };
         self.router.release(&server);
         self.refuse(now, id, refusal);
     }
 
-    // The server was chosen before the claim; it may have left since.
+    // The server was chosen before the claim was granted, so it may be gone by now.
     pub(super) fn dispatch_claimed(&mut self, now: Instant, id: RequestId, server: ServerId) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/apricotwell_node/src/node/peers.rs
+++ b/crates/apricotwell_node/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Messages from peers.
+//! Handlers for messages from peers.
 
 use std::time::{Duration, Instant};
 
@@ -15,13 +15,13 @@
 use crate::Action;
 use crate::token_manager::TokenVerdict;
 
-/// Pause between two requests for help from peers.
+/// Time between two catch-up requests to peers.
 const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
-/// Records in one reply to a peer.
+/// Largest number of records in one reply to a peer.
 const MAX_REPLY_RECORDS: usize = 512;
 
 impl Node {
-    /// Takes a message from a peer whose identity the shell has checked.
+    /// Handles a message from a peer whose identity the driver has verified.
     pub fn on_message(&mut self, now: Instant, envelope: Envelope) {
         let replies = self.fleet.receive(now, self.state.next(), &envelope);
         for (to, envelope) in replies {
@@ -191,7 +191,7 @@
         Some(shard_of(&key.to_hex(), self.settings.genesis.shards))
     }
 
-    // Serves claims as holder and as asker.
+    // Runs both sides of the claim protocol: lease holder and client.
     pub(super) fn drive_claims(&mut self, now: Instant) {
         let wall = self.wall(now);
         let memory = self.settings.claim_retention;
@@ -201,7 +201,7 @@
         let has_ended = |attempt: &str| fleet.has_ended(attempt);
         let (replies, actions) =
             self.claim_coordinator
-                .tick(now, wall, memory, &mut self.tickets, has_ended);
+                .tick(now, wall, memory, &mut self.last_ticket, has_ended);
         self.actions.extend(actions);
         for (to, message) in replies {
             self.send(now, &to, message);
@@ -218,7 +218,7 @@
         }
     }
 
-    // Asks peers for what the log does not give at the moment.
+    // Requests missing records or a snapshot from a peer while the log is unreachable.
     pub(super) fn request_catch_up(&mut self, now: Instant) {
         if now < self.next_catch_up {
             return;
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -1,4 +1,4 @@
-//! Requests: from their submission to their end.
+//! Request processing from submission to outcome.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -20,17 +20,17 @@
 use crate::token_manager::{HolderRef, Reservation};
 use crate::{Action, AttemptOutcome, Dispatch, Submission, Target};
 
-/// Pause told to callers whose request found no room.
-pub(super) const BUSY_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay sent to clients whose request was rejected for lack of capacity.
+pub(super) const BUSY_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 type CandidateCache = BTreeMap<ModelId, Vec<(Candidate, Option<ReplicaId>)>>;
 
 impl Node {
-    /// Returns the holder of a caller's key.
+    /// Returns the holder of an API key.
     ///
     /// # Errors
     ///
-    /// Fails when the key is not in force, or when this instance can't tell.
+    /// Fails when the key is unknown or withdrawn, or when this instance can't verify keys.
     pub fn authenticate(&self, now: Instant, key: &KeyDigest) -> Result<KeyHolder, Refusal> {
         self.check_keys(now)?;
         let holder = self.state.key(key).ok_or_else(|| {
@@ -42,11 +42,12 @@
         Ok(holder.clone())
     }
 
-    /// Returns the model or adapter that an organisation's caller names.
+    /// Returns the model or adapter that `name` denotes for an organisation.
     ///
     /// # Errors
     ///
-    /// Fails when it does not exist or is not granted; the two are not told apart.
+    /// Fails when the model does not exist or the organisation may not call it; the error is the
+    /// same in both cases.
     pub fn resolve(&self, org: &str, name: &str) -> Result<Callable, Refusal> {
         self.state.callable(org, name).ok_or_else(|| {
             let message = "the model does not exist or your organisation may not call it; see \
@@ -55,11 +56,11 @@
         })
     }
 
-    /// Accepts a request; its end comes as an action.
+    /// Accepts a request; its outcome is reported by an action.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal to answer at once.
+    /// Fails when the request must be rejected immediately.
     pub fn submit(&mut self, now: Instant, submission: Submission) -> Result<RequestId, Refusal> {
         self.check_keys(now)?;
         self.check_submission(now, &submission)?;
@@ -85,7 +86,7 @@
         Ok(id)
     }
 
-    /// Drops a request whose caller has gone and that no server was given.
+    /// Cancels a request whose client has disconnected.
     pub fn cancel(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -100,7 +101,7 @@
         self.flush(now);
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the outcome of an attempt.
     pub fn on_attempt_ended(
         &mut self,
         now: Instant,
@@ -132,7 +133,7 @@
         self.flush(now);
     }
 
-    /// Ends every request at once with what is known of it.
+    /// Aborts every open request with what is known about its execution.
     pub fn abort_requests(&mut self, now: Instant) {
         let open: Vec<(RequestId, bool)> = self
             .requests
@@ -140,12 +141,12 @@
             .map(|(id, request)| (id, matches!(request.stage, Stage::Running { .. })))
             .collect();
         for (id, running) in open {
-            let message = "the instance ends; look up another address";
+            let message = "the instance is shutting down; look up another address";
             let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
             let refusal = if running {
                 refusal.with_ending(Ending::OutcomeUnknown)
             } else {
-                refusal.with_retry_after(BUSY_RETRY)
+                refusal.with_retry_after(BUSY_RETRY_DELAY)
             };
             self.refuse(now, id, refusal);
         }
@@ -156,9 +157,9 @@
         if self.can_check_keys(now) {
             return Ok(());
         }
-        let message = "this instance can't confirm the keys in force; look up another address";
+        let message = "this instance can't verify API keys at the moment; look up another address";
         let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
-        Err(refusal.with_retry_after(BUSY_RETRY))
+        Err(refusal.with_retry_after(BUSY_RETRY_DELAY))
     }
 
     pub(super) fn check_submission(
@@ -184,7 +185,7 @@
         };
         if submission.cost() > org.burst {
             let message = format!(
-                "prompt and max_tokens come to {} tokens, above your burst of {}; lower max_tokens",
+                "prompt and max_tokens add up to {} tokens, above your burst of {}; lower max_tokens",
                 submission.cost(),
                 org.burst
             );
@@ -200,7 +201,7 @@
         self.check_wait(now, submission)
     }
 
-    // A request that can't be started before its deadline is refused at once.
+    // Rejects a request at once if it can't be expected to start before its deadline.
     pub(super) fn check_wait(&self, now: Instant, submission: &Submission) -> Result<(), Refusal> {
         let name = submission.queue_name();
         let ahead = self.queue.waiting_for(&name);
@@ -212,7 +213,7 @@
         match estimate {
             Some(wait) if ahead > 0 && wait > left => {
                 let message = format!(
-                    "the wait of about {} ms is beyond the deadline; come back later",
+                    "the expected wait of about {} ms exceeds the deadline; retry later",
                     wait.as_millis()
                 );
                 let refusal = Refusal::not_run(RefusalKind::Overloaded, message);
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Puts a request with its tokens into the queue.
+    /// Queues a request together with its reserved tokens.
     pub(super) fn enqueue_reserved(
         &mut self,
         now: Instant,
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Gives waiting requests to servers as long as there are free slots.
+    /// Starts queued requests as long as servers have free slots.
     pub(super) fn dispatch_queued(&mut self, now: Instant) {
         if self.queue.is_empty() {
             return;
@@ -309,7 +310,8 @@
             .or_insert_with(|| self.candidates(now, &entry.model));
         let request = self.requests.get(entry.request)?;
         let prefix = request.submission.prefix;
-        // A body that was running when a server crashed goes where it can do least harm.
+        // A body that was running when a server crashed may only go to an idle server, so that
+        // another crash hits no other request.
         let is_suspect = self.state.crashes(request.submission.body_digest) > 0;
         let servers: Vec<Candidate> = candidates
             .iter()
@@ -323,7 +325,7 @@
         Some((server, found.1))
     }
 
-    // The present version where it is loaded; an older one until then.
+    // Replicas of the current version if any is loaded, otherwise those of older versions.
     pub(super) fn candidates(
         &self,
         now: Instant,
@@ -414,7 +416,7 @@
         }
     }
 
-    // Keys and quarantine may have changed while the request waited.
+    // The API key may have been withdrawn or the body quarantined while the request waited.
     pub(super) fn recheck(&self, submission: &Submission) -> Option<Refusal> {
         let withdrawn = submission
             .api_key
@@ -543,7 +545,7 @@
         self.remove_request(id, used);
     }
 
-    // The request went to no server, so even a non-idempotent one may go to another.
+    // The request did not run, so even a non-idempotent one may go to another server.
     pub(super) fn retry_not_run(&mut self, now: Instant, id: RequestId) {
         let event = Event::new(EventKind::RequestRetried).with_request(self.request_name(id));
         self.event(now, event);
@@ -558,7 +560,7 @@
         }
     }
 
-    /// Lets requests go on whose server's crash is confirmed or excluded.
+    /// Requeues the requests that waited for the crash check of a server.
     pub(super) fn resume_checked(&mut self, now: Instant, checked: &ServerId) {
         let resumed: Vec<RequestId> = self
             .requests
@@ -571,7 +573,8 @@
         }
     }
 
-    // The first request that waits for a model must not wait for the next round of demand.
+    // The first waiting request for a model triggers a demand report at once, so that its load is
+    // not delayed until the next period.
     pub(super) fn send_first_demand(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -583,7 +586,7 @@
         }
     }
 
-    /// Tells the holders of models in use who waits and who runs.
+    /// Reports the waiting and running requests of each model to its lease holder.
     pub(super) fn send_demand(&mut self, now: Instant) {
         if now < self.next_demand {
             return;
@@ -622,7 +625,7 @@
         }
     }
 
-    /// Returns the models that an organisation may call, in order of name.
+    /// Returns the models and adapters that an organisation may call, sorted by name.
     pub fn models_of(&self, org: &OrgId) -> Vec<String> {
         let mut names: Vec<String> = self
             .state
@@ -643,5 +646,5 @@
 
 fn queue_refusal(full: QueueFull) -> Refusal {
     let refusal = Refusal::not_run(RefusalKind::Overloaded, full.to_string());
-    refusal.with_retry_after(BUSY_RETRY)
+    refusal.with_retry_after(BUSY_RETRY_DELAY)
 }
--- a/crates/apricotwell_node/src/order_manager.rs
+++ b/crates/apricotwell_node/src/order_manager.rs
@@ -1,4 +1,4 @@
-//! Orders to load and unload replicas, and what becomes of them.
+//! Orders to load and unload replicas, and their outcomes.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,12 +10,12 @@
 use crate::server_registry::ServerRegistry;
 use crate::{Action, EngineOrder, OrderKind, OrderOutcome};
 
-/// Bits of a fencing number that count the orders given at one offset.
+/// Low bits of a fencing token, which count orders; the high bits are a log offset.
 const ORDER_BITS: u32 = 24;
-/// Pause before an order whose outcome is unknown is given again.
+/// Delay before an order that failed or has no known outcome is sent again.
 const ORDER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Age of a decision from which on a report must show its load.
+/// Time after a replica is first seen from which a report without it means that it is not loaded.
 const REPORT_GRACE: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,26 +34,26 @@
     progress: Progress,
 }
 
-/// What the desk needs to know of a model's shard.
+/// Term of a lease that this instance may act on.
 pub(crate) struct HeldTerm {
     pub(crate) fence: Fence,
     pub(crate) until: Instant,
 }
 
-/// What orders are decided from.
+/// Inputs that orders are derived from.
 pub(crate) struct OrderView<'a> {
     pub(crate) now: Instant,
     pub(crate) state: &'a State,
     pub(crate) servers: &'a ServerRegistry,
 }
 
-/// Orders of this instance.
+/// Tracks the orders of this instance.
 ///
 /// # Invariants
 ///
-/// An engine that ignores fencing numbers is never given two load orders for one replica: only the
-/// holder that decided the replica orders it, and only once. So a replica that such an engine
-/// reports as loaded has no further order under way.
+/// An engine without fencing never gets two load orders for one replica: only the lease holder that
+/// decided on the replica orders its load, and only once. Once such an engine reports a replica as
+/// loaded, no other load order for it is in flight.
 #[derive(Debug)]
 pub(crate) struct OrderManager {
     orders: BTreeMap<(ReplicaId, OrderKind), OrderState>,
@@ -72,11 +72,11 @@
         }
     }
 
-    /// Returns the orders that are due for held replicas.
+    /// Returns the orders that are due for the replicas of held shards.
     pub(crate) fn due_orders<F>(
         &mut self,
         view: &OrderView<'_>,
-        tickets: &mut u64,
+        last_ticket: &mut u64,
         term_of: F,
     ) -> Vec<Action>
     where
@@ -94,13 +94,13 @@
                 ReplicaPhase::Loaded => continue,
             };
             if self.is_due(view, id, replica, kind, &term) {
-                actions.extend(self.send(view, id, replica, kind, &term, tickets));
+                actions.extend(self.send(view, id, replica, kind, &term, last_ticket));
             }
         }
         actions
     }
 
-    /// Returns an order that unloads a replica unknown to the ledger.
+    /// Returns an order that unloads a replica which is not in the ledger.
     pub(crate) fn unload_unknown(
         &mut self,
         now: Instant,
@@ -108,7 +108,7 @@
         unknown: (ServerId, String, ReplicaId),
         incarnation: u64,
         term: &HeldTerm,
-        tickets: &mut u64,
+        last_ticket: &mut u64,
     ) -> Option<Action> {
         let (server, address, replica) = unknown;
         let key = (replica, OrderKind::Unload);
@@ -125,7 +125,7 @@
             fencing_token: self.next_fencing_token(state),
             incarnation,
         };
-        let ticket = self.record_sent(now, key, term.fence, tickets);
+        let ticket = self.record_sent(now, key, term.fence, last_ticket);
         Some(Action::Order {
             ticket,
             server,
@@ -135,7 +135,7 @@
         })
     }
 
-    /// Takes the outcome of an order; returns the replica and kind that it was for.
+    /// Records the outcome of an order and returns its replica and kind.
     pub(crate) fn on_ended(
         &mut self,
         ticket: u64,
@@ -154,7 +154,7 @@
         Some(*key)
     }
 
-    /// Returns the outcomes to record for held replicas.
+    /// Returns the outcomes to record for the replicas of held shards.
     pub(crate) fn settlements<F>(
         &self,
         state: &State,
@@ -180,10 +180,11 @@
         records
     }
 
-    /// Returns replicas whose load has been undetermined for too long to be counted on.
+    /// Returns the replicas whose load is abandoned because it has had no known outcome for too
+    /// long.
     ///
-    /// A load that an earlier holder may have ordered, on an engine where it can't be ordered
-    /// anew, is given up as soon as a later report does not show it.
+    /// An engine without fencing can't get a second load order. There, a load that an earlier
+    /// holder may have ordered is abandoned as soon as a later report does not show it.
     pub(crate) fn stuck<F>(&self, view: &OrderView<'_>, fence_of: F) -> Set<ReplicaId>
     where
         F: Fn(&str) -> Option<Fence>,
@@ -207,7 +208,7 @@
             .collect()
     }
 
-    /// Returns replicas recorded as loaded that their server no longer reports.
+    /// Returns the replicas recorded as loaded that their server no longer reports.
     pub(crate) fn lost(&self, view: &OrderView<'_>) -> Vec<ReplicaId> {
         let is_lost = |id: ReplicaId, replica: &Replica| {
             let since = self.first_seen.get(&id);
@@ -231,7 +232,7 @@
             .collect()
     }
 
-    /// Returns whether any order waits for its outcome on a server.
+    /// Returns whether an order of this instance is pending on a server.
     pub(crate) fn watches(&self, state: &State, server: &str) -> bool {
         self.orders.keys().any(|(id, _)| {
             let replica = state.ledger().replica(*id);
@@ -246,12 +247,12 @@
         self.first_seen.get(&replica).copied()
     }
 
-    /// Restarts the clock of a replica, which then counts as new.
+    /// Sets the time when a replica was first seen to `now`.
     pub(crate) fn reset_first_seen(&mut self, now: Instant, replica: ReplicaId) {
         self.first_seen.insert(replica, now);
     }
 
-    /// Forgets replicas that are gone.
+    /// Drops the data of replicas that are no longer in the ledger.
     pub(crate) fn retain(&mut self, now: Instant, state: &State) {
         self.first_seen
             .retain(|id, _| state.ledger().replica(*id).is_some());
@@ -294,7 +295,7 @@
         replica: &Replica,
         kind: OrderKind,
         term: &HeldTerm,
-        tickets: &mut u64,
+        last_ticket: &mut u64,
     ) -> Option<Action> {
         let server = view.state.ledger().server(&replica.server)?;
         let order = EngineOrder {
@@ -306,7 +307,7 @@
             fencing_token: self.next_fencing_token(view.state),
             incarnation: server.incarnation,
         };
-        let ticket = self.record_sent(view.now, (id, kind), term.fence, tickets);
+        let ticket = self.record_sent(view.now, (id, kind), term.fence, last_ticket);
         Some(Action::Order {
             ticket,
             server: replica.server.clone(),
@@ -321,21 +322,21 @@
         now: Instant,
         key: (ReplicaId, OrderKind),
         fence: Fence,
-        tickets: &mut u64,
+        last_ticket: &mut u64,
     ) -> u64 {
-        *tickets += 1;
+        *last_ticket += 1;
         let order = OrderState {
-            ticket: *tickets,
+            ticket: *last_ticket,
             fence,
             sent: now,
             progress: Progress::Sent,
         };
         self.orders.insert(key, order);
-        *tickets
+        *last_ticket
     }
 
-    // A holder that has not seen its lease taken over has applied less than its successor, whose
-    // numbers are therefore higher, on whatever shard they were given.
+    // A holder that has not seen the takeover of its lease has applied fewer records than its
+    // successor. The successor's tokens are therefore higher, whichever shard they are used for.
     fn next_fencing_token(&mut self, state: &State) -> u64 {
         self.order_count += 1;
         (state.next() << ORDER_BITS) | (self.order_count & ((1 << ORDER_BITS) - 1))
@@ -379,8 +380,8 @@
     pool.is_some_and(|pool| pool.fencing)
 }
 
-// What the server's present incarnation reports of a replica: `Some(true)` when it is loaded,
-// `Some(false)` while it is being loaded.
+// Returns what the server's current incarnation reports about a replica: `Some(true)` when it is
+// loaded, `Some(false)` while it is being loaded, `None` when it is not reported.
 fn reported_loaded(
     state: &State,
     servers: &ServerRegistry,
--- a/crates/apricotwell_node/src/requests.rs
+++ b/crates/apricotwell_node/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that this instance has accepted.
+//! Table of the requests that this instance has accepted.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,50 +9,50 @@
 use crate::Submission;
 use crate::token_manager::Reservation;
 
-/// Answer as far as it is kept for repeats.
+/// Answer as stored for repeats of the same request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// Whole body, or `None` when it was larger than the limit.
+    /// Whole body; `None` when it exceeds [`crate::NodeSettings::max_stored_answer`].
     pub body: Option<Vec<u8>>,
 }
 
-/// How an attempt ended.
+/// Outcome of one attempt to run a request on a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The caller got the whole answer.
+    /// The client received the whole answer.
     Answered {
-        /// Answer, for repeats of a non-idempotent request.
+        /// Answer to store for repeats of a non-idempotent request.
         answer: StoredAnswer,
-        /// Tokens used, when the server told.
+        /// Tokens used, if the server reported them.
         used: Option<Tokens>,
     },
-    /// The server never got the request, or said that it did not run it.
+    /// The server never received the request, or reported that it did not run it.
     NotRun {
         /// Whether the server could not be reached.
         unreachable: bool,
     },
-    /// The server ran the request and said that it failed.
+    /// The server ran the request and reported a failure.
     Failed,
-    /// The connection broke, or the answer named another attempt.
+    /// The connection broke, or the answer belongs to another attempt.
     Disconnected {
-        /// Whether the caller already has part of the answer.
+        /// Whether the client already received part of the answer.
         partial: bool,
     },
-    /// The server made no progress in time.
+    /// The server made no progress within the timeout.
     Stalled {
-        /// Whether the caller already has part of the answer.
+        /// Whether the client already received part of the answer.
         partial: bool,
     },
-    /// The caller went away.
+    /// The client disconnected.
     ClientGone,
 }
 
 impl AttemptOutcome {
-    /// Returns what is known of the run.
+    /// Returns what is known about the execution; `None` when the request was answered.
     pub(crate) fn ending(&self) -> Option<Ending> {
         match self {
             AttemptOutcome::Answered { .. } => None,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns whether the caller already has part of an answer.
+    /// Returns whether the client already received part of an answer.
     pub(crate) fn is_partial(&self) -> bool {
         matches!(
             self,
@@ -74,22 +74,22 @@
     }
 }
 
-/// Where a request stands.
+/// Processing stage of an accepted request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Stage {
-    /// Waits for tokens.
+    /// Waits for rate-limit tokens.
     AwaitingTokens,
-    /// Waits for a server.
+    /// Waits in the queue for a server.
     Queued,
-    /// Has a server and waits for its idempotency key.
+    /// Has a server and waits until its idempotency key is claimed.
     Claiming { server: ServerId },
-    /// Runs.
+    /// Runs on a server.
     Running { server: ServerId },
-    /// Waits until a crash of its last server is confirmed or excluded.
+    /// Waits until a poll shows whether its last server crashed.
     CheckingCrash { server: ServerId, until: Instant },
 }
 
-/// Accepted request.
+/// Request that was accepted and has no outcome yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) submission: Submission,
@@ -97,11 +97,11 @@
     pub(crate) reservation: Option<Reservation>,
     pub(crate) attempts: u32,
     pub(crate) attempt: String,
-    // Whether the idempotency key is granted to `attempt`.
+    // Whether `attempt` holds the claim on the idempotency key.
     pub(crate) claimed: bool,
 }
 
-/// Accepted requests by number.
+/// Accepted requests by id.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
@@ -144,7 +144,7 @@
     }
 }
 
-/// Returns a recorded answer as it is given to a repeat.
+/// Converts a stored answer to the form in which claims record it.
 pub(crate) fn recorded_answer(kept: StoredAnswer) -> Answer {
     Answer {
         status: kept.status,
--- a/crates/apricotwell_node/src/server_registry.rs
+++ b/crates/apricotwell_node/src/server_registry.rs
@@ -1,4 +1,4 @@
-//! Backend servers: the platform's list, their reports, and the records on them.
+//! Backend servers: the platform's list, their reports, and the log records about them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,47 +8,47 @@
 use apricotwell_state::{PoolKind, State};
 use apricotwell_types::{BodyDigest, Incarnation, ModelId, ReplicaId, ServerId, ZoneId};
 
-/// Time for which a server that could not be reached gets no requests from here.
+/// Time for which this instance sends no requests to an unreachable server.
 const AVOID_TIME: Duration = Duration::from_secs(2);
 
 /// Backend server on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedServer {
-    /// Server.
+    /// Id of the server.
     pub id: ServerId,
     /// Address as `ip:port`.
     pub address: String,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Pool.
+    /// Pool that the server belongs to.
     pub pool: String,
-    /// Whether it is leaving.
+    /// Whether the server is being removed.
     pub leaving: bool,
 }
 
-/// Replica as its server reports it.
+/// Replica in a server's report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedReplica {
-    /// Replica.
+    /// Id of the replica.
     pub replica: ReplicaId,
-    /// Whether it is loaded, not merely being loaded.
+    /// Whether the replica is fully loaded; `false` while it is being loaded.
     pub loaded: bool,
 }
 
-/// Report of a model engine.
+/// Status report of a model engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerReport {
-    /// Start number.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
-    /// Replicas.
+    /// Replicas that are loaded or being loaded.
     pub replicas: Vec<ReportedReplica>,
-    /// Requests running and waiting.
+    /// Number of running and waiting requests.
     pub requests: u32,
-    /// Age of `requests`.
+    /// Time since `requests` was measured.
     pub load_age: Duration,
-    /// Whether it takes no new work.
+    /// Whether the server accepts no new work.
     pub leaving: bool,
-    /// Models whose weights it has in memory or on disk.
+    /// Models whose weights the server has in memory or on disk.
     pub cached: Vec<ModelId>,
 }
 
@@ -56,15 +56,15 @@
 struct ServerInfo {
     listed: Option<ListedServer>,
     report: Option<(Instant, ServerReport)>,
-    // Since when no poll has been answered.
+    // Start of the period without an answered poll.
     silent_since: Option<Instant>,
     polled: Option<Instant>,
     avoid_until: Option<Instant>,
-    // Bodies that were running when a connection broke, with the server's incarnation.
+    // Bodies that were running when a connection broke, with the incarnation recorded then.
     suspects: Vec<(BodyDigest, Option<Incarnation>)>,
 }
 
-/// Backend servers as seen from here.
+/// Backend servers as seen by this instance.
 #[derive(Debug)]
 pub(crate) struct ServerRegistry {
     servers: BTreeMap<ServerId, ServerInfo>,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes the platform's list.
+    /// Replaces the platform's list.
     pub(crate) fn set_list(&mut self, list: Vec<ListedServer>) {
         for info in self.servers.values_mut() {
             info.listed = None;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the servers of a pool of plain services that take work.
+    /// Returns the servers of a plain service's pool that accept work.
     pub(crate) fn service_servers(&self, now: Instant, pool: &str) -> Vec<&ListedServer> {
         let listed = self.servers.values().filter(|info| !info.is_avoided(now));
         listed
@@ -104,7 +104,7 @@
             .collect()
     }
 
-    /// Returns whether requests and loads may go to an engine.
+    /// Returns whether an engine may get requests and loads.
     pub(crate) fn is_usable(&self, now: Instant, state: &State, server: &str) -> bool {
         let Some(record) = state.ledger().server(server) else {
             return false;
@@ -116,7 +116,7 @@
         !record.leaving && !is_excluded
     }
 
-    /// Returns the servers as placement needs them.
+    /// Returns the servers in the form that placement needs.
     pub(crate) fn views(&self, now: Instant, state: &State) -> BTreeMap<ServerId, ServerView> {
         let view = |id: &ServerId| {
             let report = self.servers.get(id).and_then(|info| info.report.as_ref());
@@ -130,13 +130,15 @@
         servers.map(|(id, _)| (id.clone(), view(id))).collect()
     }
 
-    /// Returns the latest report of the server's present incarnation and when it came.
+    /// Returns the latest report of a server and the time of its arrival.
     pub(crate) fn report(&self, server: &str) -> Option<(Instant, &ServerReport)> {
         let (at, report) = self.servers.get(server)?.report.as_ref()?;
         Some((*at, report))
     }
 
-    /// Returns the engines to poll; `wanted` tells which ones this instance has to watch.
+    /// Returns the engines to poll now, with their addresses.
+    ///
+    /// These are the engines for which `is_watched` holds and those that may have crashed.
     pub(crate) fn polls<F>(
         &mut self,
         now: Instant,
@@ -164,9 +166,9 @@
         polls
     }
 
-    /// Takes a report, `None` when the server could not be reached.
+    /// Handles a report, or `None` when the server could not be reached.
     ///
-    /// Returns the bodies that turn out to have been running when the server crashed.
+    /// Returns the bodies that were running when the server crashed, if it did.
     pub(crate) fn on_report(
         &mut self,
         now: Instant,
@@ -198,7 +200,7 @@
         crashed
     }
 
-    /// Notes that a server could not be reached, so that other servers are preferred for a while.
+    /// Marks a server as unreachable, so that it gets no requests for [`AVOID_TIME`].
     pub(crate) fn mark_unreachable(&mut self, now: Instant, server: &ServerId) {
         let info = self
             .servers
@@ -207,8 +209,9 @@
         info.avoid_until = Some(now + AVOID_TIME);
     }
 
-    /// Notes a body that was running when the connection to a server broke; a poll will tell
-    /// whether the server crashed.
+    /// Records a body that was running when the connection to a server broke.
+    ///
+    /// The next poll shows whether the server crashed.
     pub(crate) fn suspect_crash(
         &mut self,
         server: &ServerId,
@@ -223,7 +226,7 @@
         info.polled = None;
     }
 
-    /// Returns the records on servers that this instance has to write.
+    /// Returns the records about servers that this instance has to append.
     pub(crate) fn records<F>(&self, now: Instant, state: &State, is_held: F) -> Vec<Body>
     where
         F: Fn(&ServerId) -> bool,
@@ -239,9 +242,10 @@
         records
     }
 
-    /// Returns replicas on servers that are about to be recorded and that the ledger lacks.
+    /// Returns the reported replicas that the ledger does not have on their server.
     ///
-    /// They stem from before the server was recorded as gone and must be unloaded first.
+    /// They were loaded before the server was recorded as gone, and must be unloaded before the
+    /// server is recorded again.
     pub(crate) fn unknown_replicas<F>(
         &self,
         state: &State,
@@ -258,8 +262,8 @@
             if !is_held(id) || info.silent_since.is_some() {
                 continue;
             }
-            // A replica is named by the offset that decided it: one decided beyond what this
-            // instance has applied is merely news.
+            // The id of a replica is the offset of its decision. A decision that this instance has
+            // not applied yet does not make the replica unknown.
             let is_unknown = |replica: &&ReportedReplica| {
                 let record = state.ledger().replica(replica.replica);
                 replica.replica < state.next() && record.is_none_or(|record| record.server != *id)
@@ -271,7 +275,7 @@
         unknown_replicas
     }
 
-    /// Forgets servers that neither the list nor the ledger holds.
+    /// Drops the servers that are neither on the list nor in the ledger.
     pub(crate) fn retain(&mut self, state: &State) {
         self.servers
             .retain(|id, info| info.listed.is_some() || state.ledger().server(id).is_some());
@@ -294,7 +298,7 @@
         self.avoid_until.is_some_and(|until| now < until)
     }
 
-    // Plain services have no reports.
+    // Returns the address to poll; `None` for plain services, which have no reports.
     fn address(&self, id: &str, state: &State) -> Option<String> {
         let is_engine = |pool: &str| {
             let pool = state.pool(pool);
@@ -330,7 +334,7 @@
                 && known.leaving == up.leaving
         });
         let older = known.is_some_and(|known| known.incarnation > up.incarnation);
-        // A server comes back into the ledger only empty: see `orphans`.
+        // A server is recorded again only after it has unloaded its unknown replicas.
         let unrecorded = known.is_none_or(|known| known.incarnation < up.incarnation);
         let has_unknown = report
             .replicas
--- a/crates/apricotwell_node/src/settings.rs
+++ b/crates/apricotwell_node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node.
+//! Settings of a [`crate::Node`].
 
 use std::time::Duration;
 
@@ -9,51 +9,51 @@
 /// Settings of a node; each one is documented for operators in `docs/SETTINGS.md`.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Instance.
+    /// Id of this instance.
     pub id: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: ZoneId,
-    /// Address for callers as `ip:port`.
+    /// Address for clients as `ip:port`.
     pub client_address: String,
     /// Address for peers as `ip:port`.
     pub peer_address: String,
-    /// Start number of the process.
+    /// Incarnation of the process; a later process of the instance has a higher one.
     pub incarnation: Incarnation,
-    /// What all instances must be set to alike.
+    /// Settings that must be identical on all instances.
     pub genesis: Genesis,
-    /// Periods of membership.
+    /// Periods and timeouts of the membership protocol.
     pub timing: Timing,
     /// Seed of the node's random choices.
     pub seed: u64,
-    /// How long evidence on the log counts.
+    /// How long evidence of contact with the log stays valid.
     pub evidence_window: Duration,
-    /// How long keys are honoured while the log is out and not every member can be asked.
+    /// How long API keys are accepted while the log is unreachable and not every member answers.
     pub key_grace: Duration,
-    /// Term of token grants.
+    /// How long granted rate-limit tokens can be spent.
     pub token_term: Duration,
-    /// Longest wait for tokens.
+    /// Longest time that a request waits for rate-limit tokens.
     pub token_wait: Duration,
-    /// Longest wait for a claim.
+    /// Longest time that a request waits for the claim on its idempotency key.
     pub claim_wait: Duration,
-    /// Requests that may wait on this instance.
+    /// Largest number of requests that wait on this instance.
     pub max_waiting: usize,
-    /// Attempts per request.
+    /// Largest number of attempts per request.
     pub max_attempts: u32,
-    /// Largest answer that is kept for repeats, in bytes.
+    /// Largest answer that is stored for repeats, in bytes.
     pub max_stored_answer: usize,
     /// How long claims are kept.
     pub claim_retention: Duration,
-    /// Time between two reports from a server.
+    /// Time between two polls of a server.
     pub report_period: Duration,
-    /// Time without an answer after which a server counts as gone.
+    /// Time without an answer after which a server is recorded as gone.
     pub server_timeout: Duration,
-    /// Time after which an undetermined load is no longer counted on.
+    /// Time after which a load without a known outcome is abandoned.
     pub load_timeout: Duration,
-    /// Time between two messages of demand.
+    /// Time between two demand messages.
     pub demand_period: Duration,
     /// How long the log keeps records.
     pub log_retention: Duration,
-    /// Records after which a checkpoint is written.
+    /// Number of records between two checkpoints.
     pub checkpoint_records: u64,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns this instance as its peers reach it.
+    /// Returns the contact under which peers reach this instance.
     pub fn contact(&self) -> Contact {
         Contact {
             id: self.id.clone(),
--- a/crates/apricotwell_node/src/status.rs
+++ b/crates/apricotwell_node/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of an instance.
+//! Status of an instance for operators.
 
 use std::time::Instant;
 
@@ -22,105 +22,105 @@
     pub servers: Vec<ServerStatus>,
     /// Bodies that crashed servers, as digests, with the number of crashes.
     pub suspects: Vec<(String, u32)>,
-    /// Latest records without effect, oldest first.
+    /// Latest rejected records, oldest first.
     pub rejections: Vec<String>,
 }
 
-/// The instance itself.
+/// Status of the instance itself.
 #[derive(Clone, Debug, Serialize)]
 pub struct InstanceStatus {
-    /// Instance.
+    /// Id of the instance.
     pub id: String,
-    /// Start number.
+    /// Incarnation of the process.
     pub incarnation: u64,
     /// Availability zone.
     pub zone: String,
-    /// Whether callers may be sent here.
+    /// Whether it accepts requests from clients.
     pub ready: bool,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub leaving: bool,
     /// `fresh`, `outage` or `cut_off`.
     pub view: String,
     /// Milliseconds since the log last confirmed the view.
     pub contact_ms: Option<u64>,
-    /// First offset of the control stream that is not applied.
+    /// First offset of the control stream that is not applied yet.
     pub next_offset: u64,
-    /// Open requests.
+    /// Number of accepted requests without an outcome.
     pub requests: usize,
-    /// Claims in held shards.
+    /// Number of claims in held shards.
     pub claims: usize,
-    /// Members with their states.
+    /// Ids of the members with their states.
     pub members: Vec<(String, String)>,
 }
 
-/// Lease on a shard.
+/// Status of the lease on a shard.
 #[derive(Clone, Debug, Serialize)]
 pub struct LeaseStatus {
-    /// Shard.
+    /// Number of the shard.
     pub shard: u32,
-    /// Holder.
+    /// Instance that holds the lease.
     pub holder: String,
-    /// Fencing number.
+    /// Fencing token of the lease.
     pub fence: u64,
-    /// Standing of this instance: `held`, `waiting` or `not_held`.
+    /// State of the lease for this instance: `held`, `waiting` or `not_held`.
     pub standing: &'static str,
 }
 
-/// Replica.
+/// Status of a replica.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReplicaStatus {
-    /// Replica.
+    /// Id of the replica.
     pub replica: u64,
     /// Model or adapter.
     pub model: String,
-    /// Version.
+    /// Version of the weights.
     pub version: String,
-    /// Server.
+    /// Server that the replica is assigned to.
     pub server: String,
     /// `decided`, `loaded` or `retiring`.
     pub phase: &'static str,
-    /// Memory in MiB.
+    /// Memory that the replica takes, in MiB.
     pub memory_mib: u64,
 }
 
-/// Backend server.
+/// Status of a backend server.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerStatus {
-    /// Server.
+    /// Id of the server.
     pub server: String,
-    /// Pool.
+    /// Pool that the server belongs to.
     pub pool: String,
-    /// Start number.
+    /// Incarnation of the server's process.
     pub incarnation: u64,
-    /// Memory in MiB that replicas take, undetermined ones included.
+    /// Memory that replicas take, in MiB, including replicas whose load is not confirmed.
     pub used_mib: u64,
-    /// Memory in MiB that replicas may take.
+    /// Memory that replicas may take, in MiB.
     pub memory_mib: u64,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub leaving: bool,
 }
 
-/// Why a model is or is not loaded.
+/// Status of a model, with the reason why it is or is not loaded.
 #[derive(Clone, Debug, Serialize)]
 pub struct ModelStatus {
     /// Model or adapter.
     pub model: String,
-    /// Version in force; `None` when the model has no settings.
+    /// Current version; `None` when the model has no settings.
     pub version: Option<String>,
-    /// Instance that decides on it.
+    /// Instance that holds the lease and decides on loads.
     pub holder: Option<String>,
-    /// Its replicas.
+    /// Replicas of the model.
     pub replicas: Vec<ReplicaStatus>,
-    /// Requests waiting and running as told to the holder; only the holder knows.
+    /// Number of waiting requests, known only to the lease holder.
     pub waiting: u32,
-    /// Requests running.
+    /// Number of running requests, known only to the lease holder.
     pub running: u32,
-    /// What keeps it from being loaded, or why it need not be.
+    /// Why the model is loaded, can't be loaded or need not be.
     pub reason: String,
 }
 
 impl Node {
-    /// Returns the status.
+    /// Returns the status of the instance and of the fleet as the instance sees it.
     pub fn status(&self, now: Instant) -> Status {
         let state = self.state();
         let lease = |(shard, lease): (u32, &apricotwell_state::Lease)| LeaseStatus {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Returns why a model is or is not loaded.
+    /// Returns the status of a model, with the reason why it is or is not loaded.
     pub fn explain(&self, now: Instant, model: &str) -> ModelStatus {
         let state = self.state();
         let replicas: Vec<ReplicaStatus> = state
@@ -183,11 +183,11 @@
         } else if replicas.iter().any(|replica| replica.phase == "decided") {
             "its load is decided and not yet confirmed".to_owned()
         } else if lease.is_none() {
-            "no instance holds its shard yet".to_owned()
+            "no instance holds the lease on its shard yet".to_owned()
         } else if waiting == 0 {
             "no request waits for it".to_owned()
         } else {
-            "its holder is about to decide".to_owned()
+            "its lease holder has not decided yet".to_owned()
         };
         ModelStatus {
             model: model.to_owned(),
--- a/crates/apricotwell_node/src/submission.rs
+++ b/crates/apricotwell_node/src/submission.rs
@@ -1,4 +1,4 @@
-//! A request as the shell submits it.
+//! Requests as the driver submits them.
 
 use std::time::Instant;
 
@@ -6,52 +6,52 @@
 use apricotwell_state::Callable;
 use apricotwell_types::{BodyDigest, KeyDigest, ModelId, OrgId, Tokens, WorkClass};
 
-/// What a request calls.
+/// Destination of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// A model or adapter.
     Model(Callable),
-    /// A plain service.
+    /// A plain service, which runs no model.
     Service {
-        /// Route.
+        /// Name of the route.
         route: String,
-        /// Pool of its servers.
+        /// Pool of the servers behind the route.
         pool: String,
     },
 }
 
-/// A request as the shell submits it.
+/// Parsed and authenticated request that the driver passes to [`crate::Node::submit`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// Organisation; empty on an open route.
+    /// Organisation that the request belongs to; empty on an open route.
     pub org: OrgId,
-    /// Key that came with the request; `None` on an open route.
+    /// Digest of the API key; `None` on an open route.
     pub api_key: Option<KeyDigest>,
-    /// Target.
+    /// Model or service that the request calls.
     pub target: Target,
-    /// Class.
+    /// Work class, which decides on priority and retries.
     pub class: WorkClass,
-    /// When a server must have been given the request.
+    /// Time by which the request must have been dispatched to a server.
     pub deadline: Instant,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens that the answer may have.
+    /// Largest number of tokens in the answer.
     pub max_output: Tokens,
     /// Digest of the organisation and the body.
     pub body_digest: BodyDigest,
-    /// Beginning of the prompt, for cache affinity.
+    /// Hash of the beginning of the prompt, for cache affinity.
     pub prefix: Option<PrefixKey>,
-    /// Idempotency key as a digest with the organisation.
+    /// Digest of the organisation and the idempotency key.
     pub idempotency_key: Option<BodyDigest>,
 }
 
 impl Submission {
-    /// Returns the tokens to reserve.
+    /// Returns the number of tokens to reserve from the organisation's rate limit.
     pub fn cost(&self) -> Tokens {
         self.prompt_tokens.saturating_add(self.max_output)
     }
 
-    /// Returns the name under which the request waits.
+    /// Returns the name of the queue that the request waits in.
     pub fn queue_name(&self) -> ModelId {
         match &self.target {
             Target::Model(callable) => callable.model.clone(),
@@ -60,12 +60,12 @@
     }
 }
 
-/// Returns the name under which requests for a plain service wait.
+/// Returns the queue name of a plain service.
 pub(crate) fn service_queue(pool: &str) -> ModelId {
     format!("service {pool}").into()
 }
 
-/// Returns the pool of a queue of requests for a plain service.
+/// Returns the pool of a plain service's queue; `None` for the queue of a model.
 pub(crate) fn service_pool(queue: &str) -> Option<&str> {
     queue.strip_prefix("service ")
 }
--- a/crates/apricotwell_node/src/token_manager.rs
+++ b/crates/apricotwell_node/src/token_manager.rs
@@ -1,4 +1,4 @@
-//! Token rates: this instance's escrows and the buckets whose shards it holds.
+//! Token rate limits: this instance's escrows, and the buckets of the shards that it holds.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,21 +7,21 @@
 use apricotwell_messages::{BucketState, TokenAsk, TokenGrant};
 use apricotwell_types::{Fence, InstanceId, Map, OrgId, RequestId, Tokens, WorkClass};
 
-/// Time after which an ask without an answer is sent again.
+/// Time after which an unanswered token request is sent again.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
-/// Least pause between two asks of one organisation.
+/// Shortest time between two token requests for one organisation.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// Time over which use is smoothed to size an ask.
+/// Time constant of the average use that determines how many tokens to request.
 const USE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Where an ask for tokens goes.
+/// Lease holder that token requests are sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HolderRef<'a> {
     pub(crate) instance: &'a InstanceId,
     pub(crate) fence: Fence,
 }
 
-/// Request whose tokens have been taken.
+/// Tokens that were taken for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Reservation {
     session: u64,
@@ -33,27 +33,27 @@
 #[derive(Debug)]
 struct OrgTokens {
     current: Escrow,
-    // Grants of an earlier holder, spendable until they lapse.
+    // Grants of an earlier holder, which can be spent until they expire.
     earlier: Option<Escrow>,
     waiting: BTreeMap<WaitKey, Tokens>,
     outstanding: Option<(u64, Instant)>,
     next_request: Instant,
-    // Smoothed tokens used in `USE_SPAN`.
+    // Exponentially decayed number of tokens used in `USE_WINDOW`.
     recent_use: f64,
     used_at: Instant,
     unreported: bool,
 }
 
-/// Outcome for requests that waited for tokens.
+/// Decision on a request that waited for tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TokenVerdict {
     /// The request has its tokens.
     Taken(RequestId, Reservation),
-    /// It can't have them in time; a repeat can succeed after the pause.
+    /// The request can't get its tokens in time; a retry can succeed after the given time.
     Refused(RequestId, Duration),
 }
 
-/// Escrows of all organisations and the buckets of held shards.
+/// Manages the escrows of all organisations and the buckets of held shards.
 #[derive(Debug)]
 pub(crate) struct TokenManager {
     term: Duration,
@@ -70,13 +70,13 @@
     bucket: Bucket,
 }
 
-/// How the holder of a shard came by it.
+/// Beginning of a lease holder's term on a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TermStart {
     pub(crate) fence: Fence,
-    // Fence of the lease before, 0 when nobody ever held the shard.
+    // Fence of the previous lease; 0 if the shard never had a holder.
     pub(crate) previous: Fence,
-    // Since when no earlier holder grants anything.
+    // Time from which no earlier holder grants tokens.
     pub(crate) since: Instant,
 }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Takes tokens at once, unless earlier requests of the organisation wait for theirs.
+    /// Takes tokens immediately, unless earlier requests of the organisation are waiting.
     pub(crate) fn take(&mut self, now: Instant, org: &OrgId, cost: Tokens) -> Option<Reservation> {
         let org_tokens = self.org(now, org);
         if !org_tokens.waiting.is_empty() {
@@ -100,7 +100,7 @@
         org_tokens.take(now, cost)
     }
 
-    /// Lets a request wait for its tokens.
+    /// Adds a request to those that wait for tokens.
     pub(crate) fn wait(
         &mut self,
         now: Instant,
@@ -114,14 +114,14 @@
         org_tokens.waiting.insert((class, deadline, request), cost);
     }
 
-    /// Returns how many requests of an organisation wait for tokens.
+    /// Returns the number of an organisation's requests that wait for tokens.
     pub(crate) fn waiting(&self, org: &str) -> usize {
         self.orgs
             .get(org)
             .map_or(0, |org_tokens| org_tokens.waiting.len())
     }
 
-    /// Returns how many requests wait for tokens.
+    /// Returns the number of requests that wait for tokens, over all organisations.
     pub(crate) fn total_waiting(&self) -> usize {
         self.orgs
             .values()
@@ -129,7 +129,7 @@
             .sum()
     }
 
-    /// Takes a request off the wait.
+    /// Removes a request from those that wait for tokens.
     pub(crate) fn forget(&mut self, org: &str, request: RequestId) {
         if let Some(org_tokens) = self.orgs.get_mut(org) {
             org_tokens
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Gives back what a finished request did not use.
+    /// Returns the unused tokens of a finished request to the escrow.
     pub(crate) fn settle(&mut self, org: &str, reservation: Reservation, used: Tokens) {
         let Some(org_tokens) = self.orgs.get_mut(org) else {
             return;
@@ -152,7 +152,9 @@
         }
     }
 
-    /// Returns the asks that are due; `holder_of` names the holder of an organisation's shard.
+    /// Returns the token requests that are due, with their receivers.
+    ///
+    /// `holder_of` returns the lease holder of an organisation's shard.
     pub(crate) fn due_requests<'a, F>(
         &mut self,
         now: Instant,
@@ -181,7 +183,7 @@
         requests
     }
 
-    /// Answers an ask as the holder of the organisation's shard.
+    /// Answers a token request as the lease holder of the organisation's shard.
     pub(crate) fn on_request(
         &mut self,
         now: Instant,
@@ -212,7 +214,7 @@
         })
     }
 
-    /// Takes a grant and returns what becomes of the requests that wait.
+    /// Adds a grant to the escrow and decides on the requests that wait for tokens.
     pub(crate) fn on_grant(
         &mut self,
         now: Instant,
@@ -247,7 +249,9 @@
         verdicts
     }
 
-    /// Returns the buckets to hand over with a shard; nothing is granted from them afterwards.
+    /// Removes and returns the buckets of a shard that is handed over.
+    ///
+    /// Nothing is granted from them afterwards.
     pub(crate) fn hand_over<F>(&mut self, now: Instant, in_shard: F) -> Vec<BucketState>
     where
         F: Fn(&str) -> bool,
@@ -269,7 +273,7 @@
         states
     }
 
-    /// Keeps a bucket that its previous holder hands over, until the lease is recorded.
+    /// Stores a bucket received from the previous holder until this instance's lease is recorded.
     pub(crate) fn on_bucket_state(&mut self, state: &BucketState) {
         let snapshot = BucketSnapshot {
             level: state.level,
@@ -279,7 +283,7 @@
             .insert(state.org.as_str().into(), (state.fence, snapshot));
     }
 
-    /// Forgets the buckets of shards that are no longer held, and escrows of unused organisations.
+    /// Drops the buckets of shards that are no longer held and the escrows of idle organisations.
     pub(crate) fn retain<F>(&mut self, now: Instant, fence_of: F)
     where
         F: Fn(&str) -> Option<Fence>,
@@ -354,7 +358,7 @@
         }
     }
 
-    // Begins a session with a new holder; what the last one lent stays spendable.
+    // Starts a session with a new holder. Grants of the previous holder can still be spent.
     fn switch_holder(&mut self, fence: Fence) {
         if self.current.session() == fence {
             return;
@@ -373,7 +377,7 @@
         })
     }
 
-    // Returns the session of the escrow that gave the tokens.
+    // Returns the session of the escrow that the tokens were taken from.
     fn take_from_any(&mut self, now: Instant, cost: Tokens) -> Option<u64> {
         if let Some(earlier) = &mut self.earlier
             && earlier.take(now, cost)
@@ -396,7 +400,8 @@
         self.used_at = self.used_at.max(now);
     }
 
-    // Tokens to ask for now, 0 for a mere report, `None` when nothing is due.
+    // Returns the number of tokens to request now; 0 to only send a report, `None` when nothing is
+    // due.
     fn tokens_wanted(&mut self, now: Instant) -> Option<Tokens> {
         if now < self.next_request {
             return None;
@@ -418,7 +423,7 @@
         (returns || self.unreported).then_some(0)
     }
 
-    // Gives tokens to those that wait, the most urgent first.
+    // Takes tokens for the waiting requests, the most urgent first.
     fn reserve_waiting(&mut self, now: Instant) -> Vec<TokenVerdict> {
         let mut verdicts = Vec::new();
         while let Some((key, cost)) = self
@@ -435,7 +440,9 @@
         verdicts
     }
 
-    // `wait` is the time until all that wait can be served; each one needs its part of it.
+    // Rejects the waiting requests that can't get their tokens in time. `wait` is the time until
+    // all of them can be served; a request needs a share of it in proportion to the tokens up to
+    // and including its own.
     fn refuse_late(
         &mut self,
         now: Instant,
--- a/crates/apricotwell_node/tests/claims.rs
+++ b/crates/apricotwell_node/tests/claims.rs
@@ -1,4 +1,4 @@
-//! At-most-once runs under faults, in virtual time.
+//! At-most-once execution under faults, in virtual time.
 
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_key_with_another_body_is_refused() {
+fn a_key_with_a_different_body_is_rejected() {
     let mut world = world(1);
     world.call("entry-1", order("w1"));
     world.run_for(seconds(1));
@@ -87,7 +87,7 @@
     ("serving instance killed", |world| {
         world.kill("entry-1");
     }),
-    ("serving instance killed and started anew", |world| {
+    ("serving instance killed and restarted", |world| {
         world.kill("entry-1");
         world.run_for(Duration::from_millis(300));
         world.start_instance("entry-1");
@@ -125,7 +125,7 @@
 ];
 
 #[test]
-fn no_key_runs_twice_whatever_fails_and_whenever() {
+fn no_key_runs_twice_under_any_fault_at_any_moment() {
     for (name, fault) in FAULTS {
         for moment_us in [0, 700, 1500, 3000, 5000, 20_000, 60_000] {
             for seed in 1..=2 {
@@ -138,7 +138,7 @@
                 }
                 world.run_for(Duration::from_micros(moment_us));
                 fault(&mut world);
-                // Callers repeat wherever they are told to, until they have an answer or the truth.
+                // Clients retry four times on the last instance that is still running.
                 for _ in 0..4 {
                     for key in keys {
                         let target = world.instances().into_iter().next_back().unwrap();
@@ -151,14 +151,15 @@
                     let runs = world.audit.runs.get(key).copied().unwrap_or(0);
                     assert!(runs <= 1, "{case}: {key} ran {runs} times");
                 }
-                // With everything healed, each key has run or its claimant died with it.
+                // After recovery, each key was answered, or its instance died and the outcome is
+                // unknown.
                 for (index, key) in keys.iter().enumerate() {
                     let last = calls[calls.len() - keys.len() + index];
-                    let told = match finish(&world, last) {
+                    let settled = match finish(&world, last) {
                         Finish::Answered | Finish::Replayed => true,
                         Finish::Refused(refusal) => refusal.ending == Ending::OutcomeUnknown,
                     };
-                    assert!(told, "{case}: {key} ended {:?}", finish(&world, last));
+                    assert!(settled, "{case}: {key} ended {:?}", finish(&world, last));
                 }
             }
         }
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn with_the_log_down_an_order_is_refused_in_time_and_stays_not_run() {
+fn with_the_log_down_an_order_is_rejected_in_time_and_does_not_run_later() {
     for seed in 1..=5 {
         let mut world = world(seed);
         world.log.down = true;
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_told_as_unknown_to_the_caller_and_to_every_repeat() {
+fn a_lost_answer_is_reported_as_unknown_to_the_client_and_to_every_repeat() {
     let mut world = world(1);
     let mut call = order("w1");
     call.body = "lost answer".to_owned();
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn claims_outlive_the_instances_and_the_logs_retention() {
+fn claims_survive_restarts_and_the_retention_of_the_log() {
     let mut world = World::new(WorldOptions {
         instances: 3,
         retention: seconds(40),
--- a/crates/apricotwell_node/tests/configuration.rs
+++ b/crates/apricotwell_node/tests/configuration.rs
@@ -20,13 +20,13 @@
     world
 }
 
-fn honours(world: &World, name: &str) -> bool {
+fn accepts_key(world: &World, name: &str) -> bool {
     let digest = KeyDigest::of_secret("secret of org-a");
     world.node(name).authenticate(world.now(), &digest).is_ok()
 }
 
 #[test]
-fn a_change_is_in_force_everywhere_within_two_seconds() {
+fn a_configuration_change_applies_everywhere_within_two_seconds() {
     for seed in 1..=10 {
         let mut world = world(WorldOptions {
             seed,
@@ -69,7 +69,7 @@
         world.run_for(seconds(10));
         world.resume("entry-1");
     }),
-    ("killed and started anew", |world| {
+    ("killed and restarted", |world| {
         world.kill("entry-1");
         world.run_for(seconds(1));
         world.start_instance("entry-1");
@@ -82,11 +82,11 @@
     }),
 ];
 
-/// Bound for an instance that is cut off: the window of evidence.
+/// Bound for an instance that is cut off: slightly more than the evidence window.
 const WINDOW: Duration = Duration::from_millis(3100);
 
 #[test]
-fn a_withdrawn_key_is_refused_everywhere_within_the_window() {
+fn a_withdrawn_key_is_rejected_everywhere_within_the_evidence_window() {
     for (name, fault) in FAULTS {
         for seed in 1..=5 {
             let mut world = world(WorldOptions {
@@ -99,7 +99,7 @@
                 world
                     .instances()
                     .iter()
-                    .all(|instance| honours(&world, instance))
+                    .all(|instance| accepts_key(&world, instance))
             );
             fault(&mut world);
             world.delete(KEY);
@@ -107,7 +107,7 @@
             for _ in 0..100 {
                 for instance in world.instances() {
                     assert!(
-                        !honours(&world, &instance),
+                        !accepts_key(&world, &instance),
                         "{name}, seed {seed}: {instance}"
                     );
                 }
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn keys_are_honoured_while_the_log_is_down_for_everyone() {
+fn keys_are_accepted_while_the_log_is_down_for_everyone() {
     for seed in 1..=5 {
         let mut world = world(WorldOptions {
             seed,
@@ -131,7 +131,7 @@
             world.run_for(seconds(1));
             for instance in world.instances() {
                 assert!(
-                    honours(&world, &instance),
+                    accepts_key(&world, &instance),
                     "seed {seed}: {instance} after {second} s"
                 );
             }
@@ -140,9 +140,9 @@
 }
 
 #[test]
-fn a_majority_without_the_log_honours_keys_for_the_grace_only() {
-    // Two instances keep the log and learn of the withdrawal; three can't tell this from an outage
-    // with two dead instances.
+fn a_majority_without_the_log_accepts_keys_only_for_the_grace_period() {
+    // Two instances still reach the log and see the withdrawal. To the other three this looks like
+    // an outage of the log with two dead instances.
     let mut world = world(WorldOptions {
         instances: 5,
         ..WorldOptions::default()
@@ -155,15 +155,15 @@
     }
     world.delete(KEY);
     world.run_for(seconds(20));
-    assert!(honours(&world, "entry-3") && !honours(&world, "entry-1"));
+    assert!(accepts_key(&world, "entry-3") && !accepts_key(&world, "entry-1"));
     world.run_for(seconds(20));
     for instance in world.instances() {
-        assert!(!honours(&world, &instance), "{instance}");
+        assert!(!accepts_key(&world, &instance), "{instance}");
     }
 }
 
 #[test]
-fn a_request_that_waits_is_refused_when_its_key_is_withdrawn() {
+fn a_waiting_request_is_rejected_when_its_key_is_withdrawn() {
     let mut world = world(WorldOptions {
         load: seconds(5),
         ..WorldOptions::default()
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_new_instance_starts_from_checkpoint_and_tail_like_the_others() {
+fn a_new_instance_restores_the_same_state_from_a_checkpoint_and_the_log() {
     let mut world = world(WorldOptions {
         instances: 3,
         checkpoint_records: 5,
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_new_instance_starts_from_a_peer_while_the_log_is_down() {
+fn a_new_instance_restores_its_state_from_a_peer_while_the_log_is_down() {
     let mut world = world(WorldOptions {
         instances: 5,
         ..WorldOptions::default()
@@ -236,11 +236,11 @@
     world.run_for(seconds(10));
     assert!(world.node("entry-5").is_ready(world.now()));
     assert_eq!(world.node("entry-5").state(), world.node("entry-1").state());
-    assert!(honours(&world, "entry-5"));
+    assert!(accepts_key(&world, "entry-5"));
 }
 
 #[test]
-fn a_new_instance_that_reaches_nobody_is_not_ready() {
+fn a_new_instance_without_log_and_peers_is_not_ready() {
     let mut world = world(WorldOptions {
         instances: 5,
         ..WorldOptions::default()
@@ -253,5 +253,5 @@
     }
     world.run_for(seconds(30));
     assert!(!world.node("entry-5").is_ready(world.now()));
-    assert!(!honours(&world, "entry-5"));
+    assert!(!accepts_key(&world, "entry-5"));
 }
--- a/crates/apricotwell_node/tests/leases.rs
+++ b/crates/apricotwell_node/tests/leases.rs
@@ -23,7 +23,7 @@
     Duration::from_secs(count)
 }
 
-/// Fault, and whether all shards must be held again within 15 s of it.
+/// Name and action of a fault, and whether all shards must be held again within 15 s of it.
 type Fault = (&'static str, fn(&mut World), bool);
 
 const FAULTS: [Fault; 10] = [
@@ -37,7 +37,7 @@
         true,
     ),
     (
-        "kill and start anew",
+        "kill and restart",
         |world| {
             world.kill("entry-1");
             world.run_for(Duration::from_millis(700));
@@ -100,7 +100,7 @@
 ];
 
 #[test]
-fn no_shard_ever_has_two_holders_and_every_one_finds_a_holder_again() {
+fn no_shard_has_two_holders_and_every_shard_gets_a_holder_again() {
     for (name, fault, settles) in FAULTS {
         for seed in 1..=SEEDS {
             let mut world = world(seed, 5);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn holders_go_on_while_the_log_is_down_for_everyone() {
+fn holders_keep_their_shards_while_the_log_is_down_for_everyone() {
     for seed in 1..=SEEDS {
         let mut world = world(seed, 5);
         world.log.down = true;
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_minority_cut_off_with_the_log_up_stops_within_the_window() {
+fn a_minority_cut_off_with_the_log_up_stops_within_the_evidence_window() {
     for seed in 1..=SEEDS {
         let mut world = world(seed, 5);
         for one in ["entry-1", "entry-2"] {
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_minority_with_the_log_takes_nothing_from_a_majority_without() {
+fn a_minority_with_the_log_takes_no_shard_from_a_majority_without_it() {
     for seed in 1..=SEEDS {
         let mut world = world(seed, 5);
         for one in ["entry-3", "entry-4", "entry-5"] {
@@ -184,9 +184,9 @@
 }
 
 #[test]
-fn a_taker_waits_until_a_holder_cut_off_a_moment_ago_has_stopped() {
-    // Peers lose the holder first and declare it dead about when the log loses it too: its view is
-    // good for nearly a whole window when its lease is taken over.
+fn a_new_holder_waits_until_a_recently_cut_off_holder_has_stopped() {
+    // The holder loses its peers first. They declare it dead at about the time when it also loses
+    // the log, so its view stays valid for nearly a whole window after its lease is taken over.
     for step in 0..16 {
         let mut world = world(step + 1, 5);
         for other in ["entry-2", "entry-3", "entry-4", "entry-5"] {
@@ -233,8 +233,8 @@
 }
 
 #[test]
-fn a_larger_fleet_settles_too_and_recovers_from_a_kill() {
-    // Each member probes a fortieth of the others per period: what they say must come through.
+fn a_larger_fleet_settles_and_recovers_from_a_kill() {
+    // Each member probes only a fortieth of the fleet per period, so evidence must be relayed.
     let options = WorldOptions {
         instances: 40,
         shards: 64,
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_joining_instance_moves_only_its_own_share() {
+fn a_joining_instance_takes_only_its_share_of_shards() {
     let options = WorldOptions {
         instances: 8,
         shards: 64,
--- a/crates/apricotwell_node/tests/limits.rs
+++ b/crates/apricotwell_node/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Fleet-wide rates under faults, in virtual time.
+//! Fleet-wide rate limits under faults, in virtual time.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     call
 }
 
-// Sends `factor` times the rate for `time`, spread over the instances.
+// Sends `factor` times the rate for `time`, spread evenly over the instances.
 fn flood(world: &mut World, time: Duration, factor: u64, reserved: u64, used: u64) -> Vec<u64> {
     let gap = Duration::from_micros(1_000_000 * used / (RATE * factor));
     let mut calls = Vec::new();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn steady_use_within_the_rate_is_not_refused() {
+fn steady_use_within_the_rate_is_not_rejected() {
     for seed in 1..=4 {
         let mut world = world(seed);
         let mut refused = 0;
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn over_the_rate_refusals_come_at_once_and_say_when_to_come_back() {
+fn requests_over_the_rate_are_rejected_with_a_retry_delay() {
     let mut world = world(1);
     let calls = flood(&mut world, seconds(10), 10, 100, 100);
     world.run_for(seconds(6));
--- a/crates/apricotwell_node/tests/orders.rs
+++ b/crates/apricotwell_node/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Loads, unloads and memory under faults, in virtual time.
+//! Load and unload orders, and memory limits, under faults in virtual time.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_burst_of_first_requests_on_every_instance_loads_once() {
+fn a_burst_of_first_requests_on_every_instance_loads_the_model_once() {
     for seed in 1..=SEEDS {
         let mut world = world(WorldOptions {
             seed,
@@ -61,7 +61,7 @@
 
 type Fault = (&'static str, fn(&mut World, &str));
 
-/// Faults that strike the holder of a model while its first load is under way.
+/// Faults during the first load of a model; they get the name of the model's lease holder.
 const LOAD_FAULTS: [Fault; 8] = [
     ("holder killed", |world, holder| world.kill(holder)),
     ("holder paused past its term", |world, holder| {
@@ -83,7 +83,7 @@
             world.lose_order_replies(engine, 2);
         }
     }),
-    ("engines killed and started anew", |world, _| {
+    ("engines killed and restarted", |world, _| {
         for engine in ["engine-1", "engine-2"] {
             world.kill_engine(engine);
         }
@@ -100,15 +100,15 @@
     }),
 ];
 
-// Moments after the first request at which a fault strikes: before the decision, between decision
-// and order, during the load, and about its end.
-const MOMENTS_MS: [u64; 5] = [0, 4, 8, 150, 320];
+// Times of the fault after the first request: before the decision, between decision and order,
+// during the load, and around its end.
+const FAULT_TIMES_MS: [u64; 5] = [0, 4, 8, 150, 320];
 
 #[test]
 fn faults_during_a_load_break_nothing_and_the_model_is_served_again() {
     for fencing in [true, false] {
         for (name, fault) in LOAD_FAULTS {
-            for moment in MOMENTS_MS {
+            for moment in FAULT_TIMES_MS {
                 for seed in 1..=2 {
                     let mut world = world(WorldOptions {
                         seed,
@@ -117,22 +117,22 @@
                         ..WorldOptions::default()
                     });
                     let holder = holder_of(&world, "model-a");
-                    let caller = world
+                    let entry = world
                         .instances()
                         .into_iter()
                         .find(|name| *name != holder)
                         .unwrap();
-                    let first = world.call(&caller, Call::chat("org-a", "model-a"));
+                    let first = world.call(&entry, Call::chat("org-a", "model-a"));
                     world.run_for(Duration::from_millis(moment));
                     fault(&mut world, &holder);
                     world.run_for(seconds(30));
                     let case = format!("{name} after {moment} ms, fencing {fencing}, seed {seed}");
                     assert_eq!(world.broken(), NONE, "{case}");
                     let end = world.audit.ends.get(&first);
-                    assert!(end.is_some(), "{case}: the first request has no end");
-                    let mut patient = Call::chat("org-a", "model-a");
-                    patient.patience = seconds(30);
-                    let second = world.call(&caller, patient);
+                    assert!(end.is_some(), "{case}: the first request has no outcome");
+                    let mut second_call = Call::chat("org-a", "model-a");
+                    second_call.patience = seconds(30);
+                    let second = world.call(&entry, second_call);
                     world.run_until(seconds(31), |world| world.audit.ends.contains_key(&second));
                     let end = world.audit.ends.get(&second);
                     assert!(answered(&world, second), "{case}: served again? {end:?}");
@@ -144,9 +144,9 @@
 }
 
 #[test]
-fn a_late_order_of_a_dead_holder_finds_its_memory_still_taken() {
-    // The engine ignores fencing numbers. The order arrives 40 s late, long after the lease moved
-    // and other models asked for the memory.
+fn the_memory_of_a_late_order_from_a_dead_holder_stays_reserved() {
+    // The engine ignores fencing tokens. The order arrives 40 s late, long after the lease moved
+    // and another model needed the memory.
     for seed in 1..=SEEDS {
         let mut world = world(WorldOptions {
             seed,
@@ -157,27 +157,27 @@
         });
         world.put_model("model-b", 700, 1);
         let holder = holder_of(&world, "model-a");
-        let caller = world
+        let entry = world
             .instances()
             .into_iter()
             .find(|name| *name != holder)
             .unwrap();
         world.order_delay = seconds(40);
-        world.call(&caller, Call::chat("org-a", "model-a"));
+        world.call(&entry, Call::chat("org-a", "model-a"));
         world.run_for(Duration::from_millis(100));
         world.kill(&holder);
         world.order_delay = Duration::ZERO;
         world.run_for(seconds(12));
-        let other = world.call(&caller, Call::chat("org-a", "model-b"));
+        let other = world.call(&entry, Call::chat("org-a", "model-b"));
         world.run_for(seconds(30));
         assert_eq!(world.broken(), NONE, "seed {seed}");
         assert!(
             !answered(&world, other),
-            "seed {seed}: 400 + 700 MiB can't stand on 1000"
+            "seed {seed}: 400 + 700 MiB do not fit into 1000 MiB"
         );
         assert!(
             world.engine("engine-1").audit().loads >= 1,
-            "seed {seed}: the late order came"
+            "seed {seed}: the late order did not arrive"
         );
     }
 }
@@ -191,18 +191,18 @@
             ..WorldOptions::default()
         });
         let holder = holder_of(&world, "model-a");
-        let caller = world
+        let entry = world
             .instances()
             .into_iter()
             .find(|name| *name != holder)
             .unwrap();
         world.log.delay = seconds(14);
-        world.call(&caller, Call::chat("org-a", "model-a"));
+        world.call(&entry, Call::chat("org-a", "model-a"));
         world.run_for(Duration::from_millis(50));
         world.log.delay = Duration::ZERO;
         world.kill(&holder);
         world.run_for(seconds(10));
-        let call = world.call(&caller, Call::chat("org-a", "model-a"));
+        let call = world.call(&entry, Call::chat("org-a", "model-a"));
         world.run_for(seconds(10));
         assert!(answered(&world, call), "seed {seed}");
         let decided = world.folded().ledger().replicas().count();
@@ -210,19 +210,19 @@
         let stale = world.events().iter().any(|event| {
             event.kind == EventKind::RecordRejected && event.detail.contains("lease has moved")
         });
-        assert!(stale, "seed {seed}: the late decision must have come");
+        assert!(stale, "seed {seed}: the late decision did not arrive");
         assert_eq!(world.broken(), NONE, "seed {seed}");
     }
 }
 
 #[test]
-fn a_server_that_comes_back_is_emptied_before_it_is_used() {
+fn a_returning_server_unloads_its_replicas_before_it_is_used() {
     let mut world = world(WorldOptions {
         engines: 1,
         ..WorldOptions::default()
     });
-    let caller = world.instances()[0].clone();
-    let first = world.call(&caller, Call::chat("org-a", "model-a"));
+    let entry = world.instances()[0].clone();
+    let first = world.call(&entry, Call::chat("org-a", "model-a"));
     world.run_for(seconds(2));
     assert!(answered(&world, first));
     let lost = world
@@ -239,16 +239,16 @@
     world.run_for(seconds(5));
     assert!(world.folded().ledger().server("engine-1").is_some());
     assert!(!world.engine("engine-1").is_loaded(lost));
-    let second = world.call(&caller, Call::chat("org-a", "model-a"));
+    let second = world.call(&entry, Call::chat("org-a", "model-a"));
     world.run_for(seconds(2));
     assert!(answered(&world, second));
     assert_eq!(world.broken(), NONE);
 }
 
 #[test]
-fn a_replica_decided_during_an_outage_is_not_taken_for_an_orphan() {
-    // The log goes down when only the model's holder has read the decision; the server's holder
-    // sees the replica in a report first.
+fn a_replica_decided_during_an_outage_is_not_unloaded_as_unknown() {
+    // The log goes down when only the holder of the model's shard has read the decision. The holder
+    // of the server's shard sees the replica in a report before it can read the decision.
     for seed in 1..=SEEDS {
         let mut world = world(WorldOptions {
             seed,
@@ -257,13 +257,13 @@
             ..WorldOptions::default()
         });
         let holder = holder_of(&world, "model-a");
-        let caller = world
+        let entry = world
             .instances()
             .into_iter()
             .find(|name| *name != holder)
             .unwrap();
-        world.call(&caller, Call::chat("org-a", "model-a"));
-        // Looked at closely: a few milliseconds later the others have read it too.
+        world.call(&entry, Call::chat("org-a", "model-a"));
+        // Short steps, because the other instances read the decision a few milliseconds later.
         while world.node(&holder).state().ledger().replicas().count() == 0 {
             world.run_for(Duration::from_micros(100));
         }
@@ -280,7 +280,7 @@
         assert_eq!(
             loaded,
             loads * 400,
-            "seed {seed}: what was loaded stays loaded"
+            "seed {seed}: a loaded replica was unloaded"
         );
         world.log.down = false;
         world.run_for(seconds(5));
@@ -289,21 +289,21 @@
 }
 
 #[test]
-fn a_replica_that_its_engine_dropped_is_loaded_anew() {
+fn a_replica_that_its_engine_dropped_is_loaded_again() {
     let mut world = world(WorldOptions::default());
-    let caller = world.instances()[0].clone();
-    world.call(&caller, Call::chat("org-a", "model-a"));
+    let entry = world.instances()[0].clone();
+    world.call(&entry, Call::chat("org-a", "model-a"));
     world.run_for(seconds(3));
     world.drop_replicas("engine-1");
     world.drop_replicas("engine-2");
-    let call = world.call(&caller, Call::chat("org-a", "model-a"));
+    let call = world.call(&entry, Call::chat("org-a", "model-a"));
     world.run_for(seconds(11));
     assert!(answered(&world, call), "{:?}", world.audit.ends.get(&call));
     assert_eq!(world.broken(), NONE);
 }
 
 #[test]
-fn an_idle_model_makes_room_for_a_wanted_one() {
+fn an_idle_model_is_unloaded_for_a_requested_one() {
     for fencing in [true, false] {
         let mut world = world(WorldOptions {
             engines: 1,
@@ -312,10 +312,10 @@
         });
         world.put_model("model-b", 700, 1);
         world.run_for(seconds(1));
-        let caller = world.instances()[0].clone();
-        let first = world.call(&caller, Call::chat("org-a", "model-a"));
+        let entry = world.instances()[0].clone();
+        let first = world.call(&entry, Call::chat("org-a", "model-a"));
         world.run_for(seconds(12));
-        let second = world.call(&caller, Call::chat("org-a", "model-b"));
+        let second = world.call(&entry, Call::chat("org-a", "model-b"));
         world.run_for(seconds(9));
         assert!(answered(&world, first) && answered(&world, second));
         assert_eq!(world.broken(), NONE);
@@ -323,14 +323,14 @@
 }
 
 #[test]
-fn a_new_version_is_loaded_before_the_old_one_goes() {
+fn a_new_version_is_loaded_before_the_old_one_is_unloaded() {
     let mut world = world(WorldOptions {
         engines: 2,
         ..WorldOptions::default()
     });
     world.put_model("model-a", 400, 2);
-    let caller = world.instances()[0].clone();
-    let mut calls = vec![world.call(&caller, Call::chat("org-a", "model-a"))];
+    let entry = world.instances()[0].clone();
+    let mut calls = vec![world.call(&entry, Call::chat("org-a", "model-a"))];
     world.run_for(seconds(3));
     world.put(
         "/platform/models/model-a",
@@ -339,7 +339,7 @@
     for _ in 0..40 {
         let mut call = Call::chat("org-a", "model-a");
         call.patience = Duration::from_millis(200);
-        calls.push(world.call(&caller, call));
+        calls.push(world.call(&entry, call));
         world.run_for(Duration::from_millis(100));
     }
     world.run_for(seconds(2));
@@ -362,8 +362,8 @@
             engines: 2,
             ..WorldOptions::default()
         });
-        let caller = world.instances()[0].clone();
-        world.call(&caller, Call::chat("org-a", "model-a"));
+        let entry = world.instances()[0].clone();
+        world.call(&entry, Call::chat("org-a", "model-a"));
         world.run_for(seconds(2));
         let used = ["engine-1", "engine-2"]
             .into_iter()
@@ -391,15 +391,15 @@
             ..WorldOptions::default()
         });
         world.put_model("model-a", 400, 2);
-        let caller = world.instances()[0].clone();
-        world.call(&caller, Call::chat("org-a", "model-a"));
+        let entry = world.instances()[0].clone();
+        world.call(&entry, Call::chat("org-a", "model-a"));
         world.run_for(seconds(2));
         let used = ["engine-1", "engine-2"]
             .into_iter()
             .find(|engine| world.engine(engine).used() > 0)
             .unwrap();
         world.kill_engine(used);
-        let call = world.call(&caller, Call::chat("org-a", "model-a"));
+        let call = world.call(&entry, Call::chat("org-a", "model-a"));
         world.run_for(seconds(9));
         assert!(answered(&world, call), "seed {seed}");
         assert_eq!(world.broken(), NONE, "seed {seed}");
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn a_body_that_crashes_servers_does_so_at_most_twice() {
+fn a_body_crashes_servers_at_most_twice() {
     for seed in 1..=SEEDS {
         let mut world = world(WorldOptions {
             seed,
@@ -438,22 +438,22 @@
 }
 
 #[test]
-fn a_zone_lost_with_the_log_down_leaves_what_is_loaded_served() {
+fn loaded_models_are_served_while_a_zone_and_the_log_are_down() {
     for seed in 1..=SEEDS {
         let mut world = world(WorldOptions {
             seed,
             instances: 9,
             ..WorldOptions::default()
         });
-        let caller = "entry-1";
-        world.call(caller, Call::chat("org-a", "model-a"));
+        let entry = "entry-1";
+        world.call(entry, Call::chat("org-a", "model-a"));
         world.run_for(seconds(3));
         world.log.down = true;
         for name in ["entry-2", "entry-5", "entry-8"] {
             world.kill(name);
         }
         world.run_for(seconds(6));
-        let call = world.call(caller, Call::chat("org-a", "model-a"));
+        let call = world.call(entry, Call::chat("org-a", "model-a"));
         world.run_for(seconds(3));
         let end = world.audit.ends.get(&call);
         assert!(answered(&world, call), "seed {seed}: {end:?}");
@@ -462,14 +462,14 @@
 }
 
 #[test]
-fn memory_is_taken_from_the_decision_on() {
+fn memory_is_reserved_from_the_decision_on() {
     let mut world = world(WorldOptions {
         engines: 1,
         ..WorldOptions::default()
     });
     world.order_delay = seconds(3);
-    let caller = world.instances()[0].clone();
-    world.call(&caller, Call::chat("org-a", "model-a"));
+    let entry = world.instances()[0].clone();
+    world.call(&entry, Call::chat("org-a", "model-a"));
     world.run_for(Duration::from_millis(500));
     let state = world.folded();
     let phases: Vec<_> = state
