--- a/crates/apricotwell_node/src/claim_client.rs
+++ b/crates/apricotwell_node/src/claim_client.rs
@@ -92,12 +92,12 @@
             // or that its outcome is unknown.
             return;
         }
-        let end = UnrecordedOutcome {
+        let report = UnrecordedOutcome {
             shard,
             finished: outcome.to_record(key, attempt),
             sent: None,
         };
-        self.unrecorded.insert(attempt.to_owned(), end);
+        self.unrecorded.insert(attempt.to_owned(), report);
     }
 
     /// Returns the messages that are due, by shard, and the requests whose claim timed out.
@@ -113,11 +113,11 @@
                 messages.push((pending.shard, Message::ClaimAsk(pending.claim.clone())));
             }
         }
-        for end in self.unrecorded.values_mut() {
-            if due(end.sent) {
-                end.sent = Some(now);
-                let finished = Some(end.finished.clone());
-                messages.push((end.shard, Message::ClaimFinish(ClaimFinish { finished })));
+        for report in self.unrecorded.values_mut() {
+            if due(report.sent) {
+                report.sent = Some(now);
+                let finished = Some(report.finished.clone());
+                messages.push((report.shard, Message::ClaimFinish(ClaimFinish { finished })));
             }
         }
         (messages, late)
--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -71,7 +71,7 @@
     in_flight: Option<InFlight>,
     reading: Option<Instant>,
     pause_until: Option<Instant>,
-    // Whether the record that opens this holder's term has been appended.
+    // Whether the record that opens this holder's term has been sent to the log.
     opening: bool,
     // Claims recorded below this offset must be rewritten.
     republish_below: Offset,
@@ -132,7 +132,7 @@
         let known = held
             .outcomes
             .iter()
-            .any(|end| end.finished.attempt == finished.attempt);
+            .any(|outcome| outcome.finished.attempt == finished.attempt);
         if !known && held.outcomes.len() < MAX_QUEUE {
             held.outcomes.push(PendingOutcome { from, finished });
         }
@@ -145,7 +145,7 @@
         &mut self,
         now: Instant,
         wall: Duration,
-        memory: Duration,
+        retention: Duration,
         last_ticket: &mut u64,
         has_ended: F,
     ) -> (Vec<Reply>, Vec<Action>)
@@ -155,7 +155,7 @@
         let mut replies = Vec::new();
         let mut actions = Vec::new();
         let wall_ms = wall.as_millis() as u64;
-        let oldest = wall_ms.saturating_sub(memory.as_millis() as u64);
+        let oldest = wall_ms.saturating_sub(retention.as_millis() as u64);
         for (shard, held) in &mut self.shards {
             held.table.forget(oldest);
             held.reject_expired(now, &mut replies);
@@ -326,15 +326,15 @@
             false
         });
         let in_flight = self.in_flight.as_ref();
-        self.outcomes.retain(|end| {
-            let attempt = &end.finished.attempt;
+        self.outcomes.retain(|outcome| {
+            let attempt = &outcome.finished.attempt;
             let may_be_claimed =
                 in_flight.is_some_and(|in_flight| in_flight.attempts.contains(attempt));
-            let done = !may_be_claimed && is_recorded(table, &end.finished);
-            if done && !end.from.is_empty() {
-                let attempt = end.finished.attempt.clone();
+            let done = !may_be_claimed && is_recorded(table, &outcome.finished);
+            if done && !outcome.from.is_empty() {
+                let attempt = outcome.finished.attempt.clone();
                 let confirmation = Message::ClaimFinished(ClaimFinished { attempt });
-                replies.push((end.from.clone(), confirmation));
+                replies.push((outcome.from.clone(), confirmation));
             }
             !done
         });
@@ -405,7 +405,7 @@
         }
         let outcomes = self.outcomes.iter().take(MAX_GROUP);
         let mut bodies: Vec<ClaimBody> = outcomes
-            .map(|end| ClaimBody::Finished(end.finished.clone()))
+            .map(|outcome| ClaimBody::Finished(outcome.finished.clone()))
             .collect();
         let table = &self.table;
         let is_free = |waiting: &&PendingClaim| is_free(table, &waiting.claim);
@@ -481,7 +481,10 @@
         Verdict::Held(attempt) if has_ended(&attempt) => {
             // The process ended without reporting an outcome, so the outcome stays unknown.
             let unknown = Outcome::Ended(Ending::OutcomeUnknown).to_record(key, &attempt);
-            if !outcomes.iter().any(|end| end.finished.attempt == attempt) {
+            if !outcomes
+                .iter()
+                .any(|outcome| outcome.finished.attempt == attempt)
+            {
                 outcomes.push(PendingOutcome {
                     from: "".into(),
                     finished: unknown,
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -208,7 +208,7 @@
             for (to, envelope) in messages {
                 self.actions.push(Action::Send { to, envelope });
             }
-            self.event(now, Event::new(EventKind::InstanceLeaving));
+            self.emit(now, Event::new(EventKind::InstanceLeaving));
         }
     }
 
@@ -414,7 +414,7 @@
         self.wall_start + now.saturating_duration_since(self.started)
     }
 
-    fn event(&mut self, now: Instant, event: Event) {
+    fn emit(&mut self, now: Instant, event: Event) {
         let at_us = self.wall(now).as_micros() as u64;
         let event = event.stamped(&self.settings.id, at_us);
         self.actions.push(Action::Event(event));
@@ -438,12 +438,12 @@
         let view = view.name();
         if view != self.last_view {
             self.last_view = view;
-            self.event(now, Event::new(EventKind::ViewChanged).with_detail(view));
+            self.emit(now, Event::new(EventKind::ViewChanged).with_detail(view));
         }
         let ready = self.is_ready(now);
         if ready && !self.was_ready {
             let offset = self.state.next();
-            self.event(
+            self.emit(
                 now,
                 Event::new(EventKind::InstanceReady).with_offset(offset),
             );
@@ -458,7 +458,7 @@
             .collect();
         for (id, state) in changed {
             let detail = format!("{id} {state:?}");
-            self.event(
+            self.emit(
                 now,
                 Event::new(EventKind::MemberChanged).with_detail(detail),
             );
@@ -479,7 +479,7 @@
         if let Err(reason) = outcome {
             let detail = format!("{}: {reason}", record.writer);
             let event = Event::new(EventKind::RecordRejected).with_offset(offset);
-            self.event(now, event.with_detail(detail));
+            self.emit(now, event.with_detail(detail));
             return;
         }
         let event = match record.body {
@@ -515,6 +515,6 @@
             Some(Body::Suspect(_)) => Event::new(EventKind::ServerCrashed),
             None => return,
         };
-        self.event(now, event.with_offset(offset));
+        self.emit(now, event.with_offset(offset));
     }
 }
--- a/crates/apricotwell_node/src/node/coordination.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -36,7 +36,7 @@
             let suspect = apricotwell_records::Suspect { digest };
             self.writer.push(Body::Suspect(suspect));
             let event = Event::new(EventKind::ServerCrashed).with_server(server.to_string());
-            self.event(now, event);
+            self.emit(now, event);
         }
         self.resume_checked(now, server);
         self.next_plan = now;
@@ -63,7 +63,7 @@
         }
         let detail = format!("{kind:?} {outcome:?}");
         let event = Event::new(EventKind::OrderEnded).with_replica(replica);
-        self.event(now, event.with_detail(detail));
+        self.emit(now, event.with_detail(detail));
         self.next_plan = now;
         self.run_coordination(now);
         self.flush(now);
@@ -258,19 +258,19 @@
             }
         }
         for order in orders {
-            self.record_order(now, &order);
+            self.emit_order_event(now, &order);
             self.actions.push(order);
         }
     }
 
-    fn record_order(&mut self, now: Instant, action: &Action) {
+    fn emit_order_event(&mut self, now: Instant, action: &Action) {
         if let Action::Order { server, order, .. } = action {
             let event = Event::new(EventKind::OrderSent)
                 .with_server(server.to_string())
                 .with_model(order.model.to_string())
                 .with_replica(order.replica)
                 .with_detail(format!("{:?} number {}", order.kind, order.fencing_token));
-            self.event(now, event);
+            self.emit(now, event);
         }
     }
 
@@ -291,7 +291,7 @@
         let is_watched = |id: &ServerId| {
             let pool = state.ledger().server(id).map(|server| server.pool.as_str());
             fleet.fence(now, shard_of(id, shards)).is_some()
-                || orders.watches(state, id)
+                || orders.has_pending(state, id)
                 || pool.is_some_and(|pool| pools.contains(&pool))
         };
         for (server, address) in self.servers.polls(now, state, is_watched) {
@@ -315,6 +315,6 @@
             records,
         });
         let event = Event::new(EventKind::CheckpointWritten).with_offset(next);
-        self.event(now, event);
+        self.emit(now, event);
     }
 }
--- a/crates/apricotwell_node/src/node/failures.rs
+++ b/crates/apricotwell_node/src/node/failures.rs
@@ -20,7 +20,7 @@
         now: Instant,
         id: RequestId,
         server: &ServerId,
-        end: &AttemptOutcome,
+        outcome: &AttemptOutcome,
     ) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -32,7 +32,7 @@
             request.submission.org.clone(),
             request.submission.queue_name(),
         );
-        let broken = matches!(end, AttemptOutcome::Disconnected { .. });
+        let broken = matches!(outcome, AttemptOutcome::Disconnected { .. });
         let is_engine = matches!(request.submission.target, Target::Model(_));
         if broken && is_engine {
             let incarnation = self.state.ledger().server(server);
@@ -41,15 +41,15 @@
             self.next_plan = now;
         }
         let may_retry = class.is_repeatable()
-            && !end.is_partial()
+            && !outcome.is_partial()
             && attempts < self.settings.max_attempts
             && self.retry_budgets.entry(key).or_default().withdraw();
         if !may_retry {
-            self.fail(now, id, end);
+            self.fail(now, id, outcome);
             return;
         }
         let event = Event::new(EventKind::RequestRetried).with_request(self.request_name(id));
-        self.event(now, event);
+        self.emit(now, event);
         if broken && is_engine {
             let until = now + CRASH_CHECK_TIMEOUT;
             if let Some(request) = self.requests.get_mut(id) {
@@ -63,9 +63,9 @@
         }
     }
 
-    pub(super) fn fail(&mut self, now: Instant, id: RequestId, end: &AttemptOutcome) {
-        let ending = end.ending().unwrap_or(Ending::OutcomeUnknown);
-        let message = match end {
+    pub(super) fn fail(&mut self, now: Instant, id: RequestId, outcome: &AttemptOutcome) {
+        let ending = outcome.ending().unwrap_or(Ending::OutcomeUnknown);
+        let message = match outcome {
             AttemptOutcome::Failed => "the backend server ran the request and reported a failure",
             AttemptOutcome::Stalled { .. } => "the backend server made no progress in time",
             _ => "the connection to the backend server broke while it ran the request",
@@ -135,7 +135,7 @@
                 refusal.kind.code(),
                 refusal.ending.as_str()
             ));
-        self.event(now, event);
+        self.emit(now, event);
         let used = match refusal.ending {
             Ending::NotRun => 0,
             Ending::FailedAfterRun | Ending::OutcomeUnknown => u64::MAX,
@@ -159,7 +159,7 @@
             return;
         };
         match &request.stage {
-            Stage::AwaitingTokens => self.tokens.forget(&request.submission.org, id),
+            Stage::AwaitingTokens => self.tokens.cancel(&request.submission.org, id),
             Stage::Queued => {
                 self.queue.remove(id, request.submission.deadline);
             }
--- a/crates/apricotwell_node/src/node/idempotency.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -43,7 +43,7 @@
                 request.claimed = true;
                 let name = self.request_name(id);
                 let event = Event::new(EventKind::ClaimGranted).with_request(name);
-                self.event(now, event);
+                self.emit(now, event);
                 self.dispatch_claimed(now, id, server);
                 return;
             }
@@ -51,7 +51,7 @@
                 self.router.release(&server);
                 let name = self.request_name(id);
                 let event = Event::new(EventKind::AnswerReplayed).with_request(name);
-                self.event(now, event);
+                self.emit(now, event);
                 self.remove_request(id, 0);
                 let request = id;
                 self.actions.push(Action::Replay { request, answer });
--- a/crates/apricotwell_node/src/node/peers.rs
+++ b/crates/apricotwell_node/src/node/peers.rs
@@ -194,14 +194,14 @@
     // Runs both sides of the claim protocol: lease holder and client.
     pub(super) fn drive_claims(&mut self, now: Instant) {
         let wall = self.wall(now);
-        let memory = self.settings.claim_retention;
+        let retention = self.settings.claim_retention;
         let fleet = &self.fleet;
         self.claim_coordinator
             .retain(|shard| fleet.fence(now, shard));
         let has_ended = |attempt: &str| fleet.has_ended(attempt);
         let (replies, actions) =
             self.claim_coordinator
-                .tick(now, wall, memory, &mut self.last_ticket, has_ended);
+                .tick(now, wall, retention, &mut self.last_ticket, has_ended);
         self.actions.extend(actions);
         for (to, message) in replies {
             self.send(now, &to, message);
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -71,7 +71,7 @@
         let event = Event::new(EventKind::RequestAccepted)
             .with_request(self.request_name(id))
             .with_org(org.to_string());
-        self.event(now, event);
+        self.emit(now, event);
         if org.is_empty() || cost == 0 {
             self.enqueue(now, id);
         } else if let Some(reservation) = self.tokens.take(now, &org, cost) {
@@ -107,7 +107,7 @@
         now: Instant,
         id: RequestId,
         attempt: &str,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -118,8 +118,8 @@
         if request.attempt != attempt {
             return;
         }
-        self.record_attempt(now, id, &server, &end);
-        match end {
+        self.finish_attempt(now, id, &server, &outcome);
+        match outcome {
             AttemptOutcome::Answered { answer, used } => {
                 self.finish_answered(now, id, answer, used)
             }
@@ -127,7 +127,7 @@
                 self.drop_request(now, id, u64::MAX, Some(Ending::OutcomeUnknown));
             }
             AttemptOutcome::NotRun { .. } => self.retry_not_run(now, id),
-            _ => self.retry_or_fail(now, id, &server, &end),
+            _ => self.retry_or_fail(now, id, &server, &outcome),
         }
         self.dispatch_queued(now);
         self.flush(now);
@@ -472,7 +472,7 @@
             .with_model(model.to_string())
             .with_server(server.to_string())
             .with_detail(attempt.clone());
-        self.event(now, event);
+        self.emit(now, event);
         self.actions.push(Action::Dispatch(Dispatch {
             request: id,
             attempt,
@@ -499,22 +499,22 @@
         found.map(|listed| listed.address.clone())
     }
 
-    pub(super) fn record_attempt(
+    pub(super) fn finish_attempt(
         &mut self,
         now: Instant,
         id: RequestId,
         server: &ServerId,
-        end: &AttemptOutcome,
+        outcome: &AttemptOutcome,
     ) {
         let is_healthy = matches!(
-            end,
+            outcome,
             AttemptOutcome::Answered { .. } | AttemptOutcome::ClientGone | AttemptOutcome::Failed
         );
         self.router.note_end(now, server, is_healthy);
-        if let AttemptOutcome::NotRun { unreachable: true } = end {
+        if let AttemptOutcome::NotRun { unreachable: true } = outcome {
             self.servers.mark_unreachable(now, server);
         }
-        let detail = match end.ending() {
+        let detail = match outcome.ending() {
             None => "answered",
             Some(ending) => ending.as_str(),
         };
@@ -522,14 +522,14 @@
             .with_request(self.request_name(id))
             .with_server(server.to_string())
             .with_detail(detail);
-        self.event(now, event);
+        self.emit(now, event);
     }
 
     pub(super) fn finish_answered(
         &mut self,
         now: Instant,
         id: RequestId,
-        kept: crate::StoredAnswer,
+        answer: crate::StoredAnswer,
         used: Option<u64>,
     ) {
         let Some(request) = self.requests.get(id) else {
@@ -537,18 +537,18 @@
         };
         let used = used.unwrap_or(u64::MAX);
         if request.claimed {
-            let outcome = Outcome::Answered(recorded_answer(kept));
+            let outcome = Outcome::Answered(recorded_answer(answer));
             self.report_outcome(now, id, &outcome);
         }
         let event = Event::new(EventKind::RequestAnswered).with_request(self.request_name(id));
-        self.event(now, event);
+        self.emit(now, event);
         self.remove_request(id, used);
     }
 
     // The request did not run, so even a non-idempotent one may go to another server.
     pub(super) fn retry_not_run(&mut self, now: Instant, id: RequestId) {
         let event = Event::new(EventKind::RequestRetried).with_request(self.request_name(id));
-        self.event(now, event);
+        self.emit(now, event);
         let late = self
             .requests
             .get(id)
--- a/crates/apricotwell_node/src/order_manager.rs
+++ b/crates/apricotwell_node/src/order_manager.rs
@@ -233,7 +233,7 @@
     }
 
     /// Returns whether an order of this instance is pending on a server.
-    pub(crate) fn watches(&self, state: &State, server: &str) -> bool {
+    pub(crate) fn has_pending(&self, state: &State, server: &str) -> bool {
         self.orders.keys().any(|(id, _)| {
             let replica = state.ledger().replica(*id);
             replica.is_some_and(|replica| {
@@ -247,7 +247,7 @@
         self.first_seen.get(&replica).copied()
     }
 
-    /// Sets the time when a replica was first seen to `now`.
+    /// Sets the time when a replica was first seen to `now`, so that it counts as new.
     pub(crate) fn reset_first_seen(&mut self, now: Instant, replica: ReplicaId) {
         self.first_seen.insert(replica, now);
     }
--- a/crates/apricotwell_node/src/requests.rs
+++ b/crates/apricotwell_node/src/requests.rs
@@ -145,10 +145,10 @@
 }
 
 /// Converts a stored answer to the form in which claims record it.
-pub(crate) fn recorded_answer(kept: StoredAnswer) -> Answer {
+pub(crate) fn recorded_answer(answer: StoredAnswer) -> Answer {
     Answer {
-        status: kept.status,
-        media: kept.content_type,
-        body: kept.body.unwrap_or_default(),
+        status: answer.status,
+        media: answer.content_type,
+        body: answer.body.unwrap_or_default(),
     }
 }
--- a/crates/apricotwell_node/src/token_manager.rs
+++ b/crates/apricotwell_node/src/token_manager.rs
@@ -60,7 +60,7 @@
     orgs: BTreeMap<OrgId, OrgTokens>,
     buckets: Map<OrgId, HeldBucket>,
     received: Map<OrgId, (Fence, BucketSnapshot)>,
-    last_number: u64,
+    last_request: u64,
 }
 
 #[derive(Debug)]
@@ -87,7 +87,7 @@
             orgs: BTreeMap::new(),
             buckets: Map::default(),
             received: Map::default(),
-            last_number: 0,
+            last_request: 0,
         }
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Removes a request from those that wait for tokens.
-    pub(crate) fn forget(&mut self, org: &str, request: RequestId) {
+    pub(crate) fn cancel(&mut self, org: &str, request: RequestId) {
         if let Some(org_tokens) = self.orgs.get_mut(org) {
             org_tokens
                 .waiting
@@ -172,12 +172,12 @@
             let Some(want) = org_tokens.tokens_wanted(now) else {
                 continue;
             };
-            self.last_number += 1;
+            self.last_request += 1;
             let report = org_tokens.current.report(now);
-            org_tokens.outstanding = (want > 0).then_some((self.last_number, now));
+            org_tokens.outstanding = (want > 0).then_some((self.last_request, now));
             org_tokens.next_request = now + REQUEST_INTERVAL;
             org_tokens.unreported = false;
-            let request = TokenAsk::new(org, self.last_number, want, report);
+            let request = TokenAsk::new(org, self.last_request, want, report);
             requests.push((holder.instance.clone(), request));
         }
         requests
@@ -395,8 +395,8 @@
 
     fn decay(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.used_at);
-        let spans = elapsed.as_secs_f64() / USE_WINDOW.as_secs_f64();
-        self.recent_use *= (-spans).exp();
+        let windows = elapsed.as_secs_f64() / USE_WINDOW.as_secs_f64();
+        self.recent_use *= (-windows).exp();
         self.used_at = self.used_at.max(now);
     }
 
@@ -441,8 +441,8 @@
     }
 
     // Rejects the waiting requests that can't get their tokens in time. `wait` is the time until
-    // all of them can be served; a request needs a share of it in proportion to the tokens up to
-    // and including its own.
+    // all of them can be served. The wait of one request is the share of `wait` that corresponds
+    // to the tokens for itself and those ahead of it.
     fn refuse_late(
         &mut self,
         now: Instant,
@@ -454,17 +454,17 @@
         let mut late = Vec::new();
         for ((class, deadline, request), cost) in &self.waiting {
             ahead += cost;
-            let share = wait.as_secs_f64() * ahead as f64 / total.max(1) as f64;
-            let share = Duration::try_from_secs_f64(share).unwrap_or(Duration::MAX);
+            let own_wait = wait.as_secs_f64() * ahead as f64 / total.max(1) as f64;
+            let own_wait = Duration::try_from_secs_f64(own_wait).unwrap_or(Duration::MAX);
             let max_wait = max_wait.min(deadline.saturating_duration_since(now));
-            if share > max_wait {
+            if own_wait > max_wait {
                 ahead -= cost;
-                late.push(((*class, *deadline, *request), share));
+                late.push(((*class, *deadline, *request), own_wait));
             }
         }
-        let refuse = |(key, share): (WaitKey, Duration)| {
+        let refuse = |(key, own_wait): (WaitKey, Duration)| {
             self.waiting.remove(&key);
-            TokenVerdict::Refused(key.2, share)
+            TokenVerdict::Refused(key.2, own_wait)
         };
         late.into_iter().map(refuse).collect()
     }
