--- a/crates/apricotwell_dispatch/src/backends.rs
+++ b/crates/apricotwell_dispatch/src/backends.rs
@@ -7,7 +7,7 @@
 use apricotwell_types::{Fence, InstanceId, Map, ServerId, ZoneId};
 
 use crate::catalog::ServiceId;
-use crate::model::{Holdings, ModelName, Wanted};
+use crate::model::{Holdings, ModelName, RequestedModel};
 
 /// Share of a new outcome in a server's failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
@@ -71,7 +71,7 @@
     told: Option<Instant>,
     // Fence of that holder.
     fence: Fence,
-    denied: Option<(Wanted, Instant)>,
+    denied: Option<(RequestedModel, Instant)>,
     failure: f64,
     failed: Instant,
     /// Until when a removed entry is still used.
@@ -120,7 +120,7 @@
     }
 
     /// Returns whether the server can run a request for `wanted` now.
-    pub fn serves(&self, now: Instant, wanted: Option<&Wanted>) -> bool {
+    pub fn serves(&self, now: Instant, wanted: Option<&RequestedModel>) -> bool {
         let Some(wanted) = wanted else {
             return true;
         };
@@ -291,7 +291,7 @@
     }
 
     /// Notes that a server denied to hold what was wanted.
-    pub fn note_denied(&mut self, now: Instant, id: &str, wanted: &Wanted) {
+    pub fn note_denied(&mut self, now: Instant, id: &str, wanted: &RequestedModel) {
         if let Some(server) = self.servers.get_mut(id) {
             server.denied = Some((wanted.clone(), now));
         }
--- a/crates/apricotwell_dispatch/src/call.rs
+++ b/crates/apricotwell_dispatch/src/call.rs
@@ -4,7 +4,7 @@
 
 use apricotwell_types::{KeyDigest, Tokens};
 
-use crate::model::Wanted;
+use crate::model::RequestedModel;
 
 /// Id of one attempt of a caller; each has its own.
 pub type AttemptId = String;
@@ -32,7 +32,7 @@
     /// Time for which the caller waits, if it says so.
     pub deadline: Option<Duration>,
     /// Model wanted, for model engines.
-    pub wanted: Option<Wanted>,
+    pub wanted: Option<RequestedModel>,
     /// Tokens read and written at most, if the caller says so.
     pub tokens: Option<Tokens>,
     /// Parts of the prompt, in order.
--- a/crates/apricotwell_dispatch/src/demand.rs
+++ b/crates/apricotwell_dispatch/src/demand.rs
@@ -6,7 +6,7 @@
 use apricotwell_types::Map;
 
 use crate::catalog::ServiceId;
-use crate::model::Wanted;
+use crate::model::RequestedModel;
 
 /// Time over which rates are smoothed.
 const SMOOTHING: Duration = Duration::from_millis(2500);
@@ -31,13 +31,13 @@
 /// Requests for models, smoothed over time, and those that wait.
 #[derive(Debug, Default)]
 pub struct DemandTable {
-    uses: Map<(ServiceId, Wanted), Use>,
+    uses: Map<(ServiceId, RequestedModel), Use>,
     last_wait: u64,
 }
 
 impl DemandTable {
     /// Notes a request.
-    pub fn note_request(&mut self, now: Instant, service: &ServiceId, wanted: &Wanted) {
+    pub fn record_request(&mut self, now: Instant, service: &ServiceId, wanted: &RequestedModel) {
         let entry = self.entry(now, service, wanted);
         entry.rate = entry.rate(now) + 1.0 / SMOOTHING.as_secs_f64();
         entry.updated = now;
@@ -48,7 +48,7 @@
         &mut self,
         now: Instant,
         service: &ServiceId,
-        wanted: &Wanted,
+        wanted: &RequestedModel,
         deadline: Instant,
     ) -> u64 {
         self.last_wait += 1;
@@ -60,7 +60,7 @@
     }
 
     /// Notes that a wait is over.
-    pub fn end_wait(&mut self, service: &ServiceId, wanted: &Wanted, wait: u64) {
+    pub fn end_wait(&mut self, service: &ServiceId, wanted: &RequestedModel, wait: u64) {
         let key = (service.clone(), wanted.clone());
         if let Some(entry) = self.uses.get_mut(&key) {
             entry.waiting.remove(&wait);
@@ -68,7 +68,7 @@
     }
 
     /// Returns the demand to tell, and forgets what has faded.
-    pub fn uses(&mut self, now: Instant) -> Vec<ModelUse> {
+    pub fn model_uses(&mut self, now: Instant) -> Vec<ModelUse> {
         self.uses
             .retain(|_, entry| !entry.waiting.is_empty() || entry.rate(now) >= LEAST_RATE);
         let told = self.uses.iter().map(|((service, wanted), entry)| {
@@ -86,7 +86,7 @@
         told.collect()
     }
 
-    fn entry(&mut self, now: Instant, service: &ServiceId, wanted: &Wanted) -> &mut Use {
+    fn entry(&mut self, now: Instant, service: &ServiceId, wanted: &RequestedModel) -> &mut Use {
         let key = (service.clone(), wanted.clone());
         self.uses.entry(key).or_insert(Use {
             rate: 0.0,
--- a/crates/apricotwell_dispatch/src/dispatcher.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher.rs
@@ -18,12 +18,12 @@
 use crate::feeds::{FeedViews, Source};
 use crate::freshness::Freshness;
 use crate::lease::{Lease, LeaseTerms};
-use crate::model::Wanted;
+use crate::model::RequestedModel;
 use crate::peers::PeerTable;
-use crate::prompts::PromptTable;
+use crate::placement::{Order, PlacementPlanner};
+use crate::prompt_cache::PromptCacheTable;
 use crate::quota::{QuotaBounds, QuotaTable};
-use crate::retries::{RetryBounds, RetryWindow};
-use crate::stock::{Order, StockPlanner};
+use crate::retries::{RetryBounds, RetryBudget};
 
 /// Time for which callers are asked to stay away when no server is known.
 const NO_SERVER_PAUSE: Duration = Duration::from_millis(500);
@@ -74,7 +74,7 @@
     /// When the caller gives it up unless something of the answer has come.
     pub silence: Instant,
     /// Model wanted.
-    pub wanted: Option<Wanted>,
+    pub wanted: Option<RequestedModel>,
 }
 
 /// Where a request goes next.
@@ -108,11 +108,11 @@
     /// Placement lease.
     pub lease: Lease,
     /// Placement.
-    pub stock: StockPlanner,
+    pub stock: PlacementPlanner,
     /// Where prompts are cached.
-    pub prompts: PromptTable,
+    pub prompts: PromptCacheTable,
     quotas: QuotaTable,
-    retries: Map<ServiceId, RetryWindow>,
+    retries: Map<ServiceId, RetryBudget>,
     leaving: bool,
     heartbeats: u64,
 }
@@ -128,8 +128,8 @@
             peers: PeerTable::default(),
             demand: DemandTable::default(),
             lease: Lease::new(facts.lease),
-            stock: StockPlanner::default(),
-            prompts: PromptTable::default(),
+            stock: PlacementPlanner::default(),
+            prompts: PromptCacheTable::default(),
             quotas: QuotaTable::new(facts.quota, facts.first_start)
                 .with_phase((hash(&[&facts.id]) % PHASES) as f64 / PHASES as f64),
             retries: Map::default(),
@@ -210,7 +210,7 @@
             self.spend(now, organisation, tokens)?;
         }
         let service = route.service(draw(&call.attempt)).clone();
-        self.retry_window(&service).note_request(now);
+        self.retry_budget(&service).record_request(now);
         let allowed = call.deadline.unwrap_or(route.timeout).min(route.timeout);
         let admission = Admission {
             priority: organisation
@@ -231,7 +231,7 @@
             service,
         };
         if let Some(wanted) = &admission.wanted {
-            self.demand.note_request(now, &admission.service, wanted);
+            self.demand.record_request(now, &admission.service, wanted);
         }
         Ok(admission)
     }
@@ -272,7 +272,7 @@
         tokens: Tokens,
     ) -> Result<(), Refusal> {
         let (heard, possible) = (self.peers.heard(now), self.peers.possible());
-        self.quotas.set_part(heard, possible);
+        self.quotas.set_share(heard, possible);
         self.quotas
             .spend(now, organisation, tokens)
             .map_err(|shortage| {
@@ -284,9 +284,9 @@
                     shortage.level,
                     organisation.burst,
                     organisation.rate,
-                    shortage.part,
+                    shortage.share,
                 );
-                Refusal::not_run(RefusalKind::OverRate, text).with_retry_after(shortage.wait)
+                Refusal::not_run(RefusalKind::OverRate, text).with_retry_after(shortage.retry_after)
             })
     }
 
@@ -302,7 +302,7 @@
         admission
             .organisation
             .as_ref()
-            .is_some_and(|organisation| self.quotas.is_tight(now, organisation))
+            .is_some_and(|organisation| self.quotas.is_near_limit(now, organisation))
     }
 
     /// Returns what the fleet spent in the last window, to be kept in the store.
@@ -317,20 +317,21 @@
 
     /// Returns whether some organisation is close to its limit.
     pub fn is_any_tight(&self) -> bool {
-        self.quotas.is_any_tight()
+        self.quotas.is_any_near_limit()
     }
 
     /// Takes a second attempt from the budget of the request's service.
     pub fn take_retry(&mut self, now: Instant, admission: &Admission) -> bool {
         let instances = self.peers.possible();
-        self.retry_window(&admission.service).take(now, instances)
+        self.retry_budget(&admission.service)
+            .try_take(now, instances)
     }
 
-    fn retry_window(&mut self, service: &ServiceId) -> &mut RetryWindow {
+    fn retry_budget(&mut self, service: &ServiceId) -> &mut RetryBudget {
         let bounds = self.facts.retries;
         self.retries
             .entry(service.clone())
-            .or_insert_with(|| RetryWindow::new(bounds))
+            .or_insert_with(|| RetryBudget::new(bounds))
     }
 
     /// Forgets what can no longer be true.
@@ -347,13 +348,13 @@
         let Some(catalog) = self.catalog.clone() else {
             return Default::default();
         };
-        let own = self.demand.uses(now);
+        let own = self.demand.model_uses(now);
         let mut orders = Vec::new();
         let engines = catalog
             .services()
             .filter(|service| service.engine.is_some());
         for service in engines {
-            self.stock.follow(now, &self.backends, service);
+            self.stock.sync_servers(now, &self.backends, service);
             let uses = own.iter().chain(self.peers.model_uses(now));
             orders.extend(self.stock.plan(now, service, &self.backends, uses));
         }
--- a/crates/apricotwell_dispatch/src/dispatcher/choosing.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/choosing.rs
@@ -8,7 +8,7 @@
 use crate::backends::Backend;
 use crate::call::Call;
 use crate::catalog::Service;
-use crate::model::Wanted;
+use crate::model::RequestedModel;
 
 /// Delay that a request in another zone is taken to add, in ms: bytes between zones cost as much.
 const ZONE_COST_MS: f64 = 20.0;
@@ -101,7 +101,7 @@
             return delay + PLAIN_REQUEST_MS * in_flight;
         };
         let id = &server.entry.id;
-        let unread = self.prompts.tokens_to_read(id, wanted, &call.prompt);
+        let unread = self.prompts.uncached_tokens(id, wanted, &call.prompt);
         let tokens = unread + server.recent_tokens(now);
         delay + ENGINE_REQUEST_MS * in_flight + tokens / READ_TOKENS_PER_MS
     }
@@ -111,7 +111,7 @@
         &self,
         now: Instant,
         admission: &Admission,
-        wanted: &Wanted,
+        wanted: &RequestedModel,
         usable: &[&Backend],
     ) -> Choice {
         let service = self
@@ -137,7 +137,7 @@
 fn expected_load(
     now: Instant,
     service: &Service,
-    wanted: &Wanted,
+    wanted: &RequestedModel,
     usable: &[&Backend],
 ) -> Option<Duration> {
     let spec = service.engine.as_ref()?.model(&wanted.model)?;
--- a/crates/apricotwell_dispatch/src/dispatcher/telling.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/telling.rs
@@ -47,7 +47,7 @@
 
     /// Notes that all other instances are told what is spent here.
     pub fn note_told(&mut self, now: Instant) {
-        self.quotas.note_told(now);
+        self.quotas.mark_reported(now);
     }
 
     /// Applies another instance's heartbeat.
@@ -114,7 +114,7 @@
             let (spent, fleet) = spending.get(&**name).copied().unwrap_or_default();
             let incarnation = heartbeat.incarnation;
             self.quotas
-                .note_spending(now, instance, incarnation, organisation, spent, fleet);
+                .apply_spending(now, instance, incarnation, organisation, spent, fleet);
         }
     }
 }
--- a/crates/apricotwell_dispatch/src/lib.rs
+++ b/crates/apricotwell_dispatch/src/lib.rs
@@ -30,10 +30,10 @@
 pub mod news;
 pub mod orders;
 pub mod peers;
-pub mod prompts;
+pub mod placement;
+pub mod prompt_cache;
 pub mod quota;
 pub mod retries;
-pub mod stock;
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
@@ -47,9 +47,9 @@
     pub use crate::feeds::{Feed, ListChange, Source};
     pub use crate::freshness::Freshness;
     pub use crate::lease::{Lease, LeaseStep, LeaseTerms, Standing};
-    pub use crate::model::{AdapterName, Holdings, ModelName, Wanted};
+    pub use crate::model::{AdapterName, Holdings, ModelName, RequestedModel};
     pub use crate::news::StockNews;
-    pub use crate::orders::{Operation, OrderReply, Report};
+    pub use crate::orders::{Operation, OrderReply, StatusReport};
     pub use crate::quota::QuotaBounds;
     pub use crate::retries::RetryBounds;
 }
--- a/crates/apricotwell_dispatch/src/model.rs
+++ b/crates/apricotwell_dispatch/src/model.rs
@@ -9,7 +9,7 @@
 
 /// Model that a request asks for, with an adapter or without.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Wanted {
+pub struct RequestedModel {
     /// Model.
     pub model: ModelName,
     /// Adapter of that model.
@@ -39,7 +39,7 @@
     }
 
     /// Returns whether a model with its adapter, if one is wanted, can be run.
-    pub fn serves(&self, wanted: &Wanted) -> bool {
+    pub fn serves(&self, wanted: &RequestedModel) -> bool {
         let Some(adapters) = self.adapters(&wanted.model) else {
             return false;
         };
--- a/crates/apricotwell_dispatch/src/news.rs
+++ b/crates/apricotwell_dispatch/src/news.rs
@@ -9,7 +9,7 @@
 use crate::backends::BackendTable;
 use crate::model::Holdings;
 use crate::orders::ServerOrders;
-use crate::stock::StockPlanner;
+use crate::placement::PlacementPlanner;
 
 /// Datagrams that tell of a change, as one may be lost.
 const REPEATS: u32 = 3;
@@ -34,7 +34,12 @@
 
 impl StockNews {
     /// Returns whether a server changed since it was last told of.
-    pub fn has_change(&self, now: Instant, planner: &StockPlanner, list: &BackendTable) -> bool {
+    pub fn has_change(
+        &self,
+        now: Instant,
+        planner: &PlacementPlanner,
+        list: &BackendTable,
+    ) -> bool {
         planner.servers().any(|(id, server)| {
             stock_of(now, id, server).is_some_and(|stock| !self.is_told(id, &stock, list))
         })
@@ -44,7 +49,7 @@
     pub fn take(
         &mut self,
         now: Instant,
-        planner: &StockPlanner,
+        planner: &PlacementPlanner,
         list: &BackendTable,
     ) -> Vec<ServerStock> {
         let turn = self.next_turn(planner);
@@ -86,7 +91,7 @@
         }
     }
 
-    fn next_turn(&mut self, planner: &StockPlanner) -> Vec<ServerId> {
+    fn next_turn(&mut self, planner: &PlacementPlanner) -> Vec<ServerId> {
         let ids = || planner.servers().map(|(id, _)| id.clone());
         let last = self.last.clone();
         let after = ids().filter(|id| last.as_ref().is_none_or(|last| id > last));
--- a/crates/apricotwell_dispatch/src/orders.rs
+++ b/crates/apricotwell_dispatch/src/orders.rs
@@ -90,7 +90,7 @@
 
 /// State of a server as it reports it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct StatusReport {
     /// Whether an order is under way.
     pub busy: bool,
     /// What it holds.
@@ -214,14 +214,14 @@
     }
 
     /// Returns whether an adapter is about to leave.
-    pub fn is_leaving(&self, model: &str, adapter: &str) -> bool {
+    pub fn is_unloading_adapter(&self, model: &str, adapter: &str) -> bool {
         self.adapters_leaving
             .iter()
             .any(|(of, name)| **of == *model && **name == *adapter)
     }
 
     /// Returns the number of adapters that are about to leave.
-    pub fn leaving_adapters(&self) -> usize {
+    pub fn unloading_adapters(&self) -> usize {
         self.adapters_leaving.len()
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Notes an order that is being sent.
-    pub fn note_sent(&mut self, now: Instant, operation: Operation, fetches: bool) {
+    pub fn record_sent(&mut self, now: Instant, operation: Operation, fetches: bool) {
         self.pending = Some(Pending {
             operation,
             sent: now,
@@ -247,7 +247,7 @@
     }
 
     /// Notes the answer to the pending order; `duration` is the time that it should take.
-    pub fn note_reply(&mut self, now: Instant, reply: OrderReply, duration: Duration) {
+    pub fn apply_reply(&mut self, now: Instant, reply: OrderReply, duration: Duration) {
         let Some(pending) = &mut self.pending else {
             return;
         };
@@ -353,7 +353,7 @@
 
     /// Compares what is known with the list's entry of the server, which lags: after a lasting
     /// difference the server is asked.
-    pub fn note_listed(&mut self, now: Instant, listed: &Holdings) {
+    pub fn check_listed(&mut self, now: Instant, listed: &Holdings) {
         let Some(holdings) = &self.holdings else {
             return;
         };
@@ -370,7 +370,7 @@
     }
 
     /// Applies a report, `None` if the server gave none.
-    pub fn note_report(&mut self, now: Instant, report: Option<Report>) {
+    pub fn apply_report(&mut self, now: Instant, report: Option<StatusReport>) {
         let asked = self.asked.take();
         let Some(report) = report else {
             self.report_due = Some(now + REPORT_RETRY);
@@ -409,7 +409,7 @@
         }
     }
 
-    fn note_busy(&mut self, now: Instant, report: Report) {
+    fn note_busy(&mut self, now: Instant, report: StatusReport) {
         self.report_due = Some(now + REPORT_PAUSE);
         let Some(holdings) = &mut self.holdings else {
             // Nothing may be ordered before the order under way has ended.
--- a/crates/apricotwell_dispatch/src/stock.rs
+++ b/crates/apricotwell_dispatch/src/placement.rs
@@ -19,7 +19,7 @@
 use crate::backends::BackendTable;
 use crate::catalog::{ModelSpec, Service};
 use crate::model::ModelName;
-use crate::orders::{Operation, OrderReply, Report, ServerOrders};
+use crate::orders::{Operation, OrderReply, ServerOrders, StatusReport};
 
 use demand::FleetDemand;
 use loading::Patience;
@@ -58,7 +58,7 @@
 
 /// Decides what servers hold.
 #[derive(Debug, Default)]
-pub struct StockPlanner {
+pub struct PlacementPlanner {
     servers: BTreeMap<ServerId, ServerOrders>,
     // When a model was last asked for or loaded.
     used: Map<ModelName, Instant>,
@@ -76,14 +76,14 @@
     reason: &'static str,
 }
 
-impl StockPlanner {
+impl PlacementPlanner {
     /// Forgets everything, when the lease is lost.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// Follows the list of servers.
-    pub fn follow(&mut self, now: Instant, backends: &BackendTable, service: &Service) {
+    pub fn sync_servers(&mut self, now: Instant, backends: &BackendTable, service: &Service) {
         for backend in backends.usable(now, &service.name) {
             let entry = &backend.entry;
             let known = self.servers.get(&entry.id);
@@ -91,7 +91,7 @@
                 self.servers
                     .insert(entry.id.clone(), ServerOrders::new(now, entry.born));
             } else if let Some(known) = self.servers.get_mut(&entry.id) {
-                known.note_listed(now, &entry.holdings);
+                known.check_listed(now, &entry.holdings);
             }
         }
         self.servers.retain(|id, _| {
@@ -118,12 +118,12 @@
     }
 
     /// Applies a report.
-    pub fn note_report(&mut self, now: Instant, id: &str, report: Option<Report>) {
+    pub fn apply_report(&mut self, now: Instant, id: &str, report: Option<StatusReport>) {
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
         let loaded = server.loading().map(|(model, _)| model.clone());
-        server.note_report(now, report);
+        server.apply_report(now, report);
         if let Some(model) = loaded
             && server.is_free(now)
         {
@@ -132,10 +132,10 @@
     }
 
     /// Applies the answer to an order.
-    pub fn note_reply(&mut self, now: Instant, id: &str, reply: OrderReply) {
+    pub fn apply_reply(&mut self, now: Instant, id: &str, reply: OrderReply) {
         let duration = self.durations.get(id).copied().unwrap_or_default();
         if let Some(server) = self.servers.get_mut(id) {
-            server.note_reply(now, reply, duration);
+            server.apply_reply(now, reply, duration);
         }
     }
 
@@ -363,7 +363,7 @@
             return;
         };
         let expected = server.expected_orders();
-        server.note_sent(plan.now, operation.clone(), fetches);
+        server.record_sent(plan.now, operation.clone(), fetches);
         match &operation {
             Operation::LoadModel(model) => plan.note_kept(model),
             Operation::UnloadModel(model) => plan.note_dropped(model),
--- a/crates/apricotwell_dispatch/src/stock/adapters.rs
+++ b/crates/apricotwell_dispatch/src/placement/adapters.rs
@@ -1,14 +1,14 @@
 //! Which adapters servers hold.
 
 use super::plan::{Plan, free_memory};
-use super::{StockPlanner, UNLOAD_TIME};
+use super::{PlacementPlanner, UNLOAD_TIME};
 use crate::model::{AdapterName, ModelName};
 use crate::orders::{Operation, ServerOrders};
 
 /// Adapters on their way from the weight store at once, over all servers.
 const PARALLEL_ADAPTERS: usize = 16;
 
-impl StockPlanner {
+impl PlacementPlanner {
     /// Loads adapters that requests wait for.
     pub(super) fn plan_adapters(&mut self, plan: &mut Plan<'_>) {
         let mut wanted = plan.demand.waiting_adapters();
@@ -64,7 +64,7 @@
 
     fn coldest_adapter(&self, plan: &Plan<'_>, id: &str) -> Option<Operation> {
         let server = self.servers.get(id)?;
-        if server.leaving_adapters() > 0 {
+        if server.unloading_adapters() > 0 {
             return None;
         }
         let holdings = server.holdings()?;
@@ -72,7 +72,7 @@
             let demand = plan.demand.get(model);
             let staying = adapters
                 .iter()
-                .filter(|adapter| !server.is_leaving(model, adapter));
+                .filter(|adapter| !server.is_unloading_adapter(model, adapter));
             staying.map(move |adapter| {
                 let rate = demand
                     .and_then(|demand| demand.adapters.get(adapter))
--- a/crates/apricotwell_dispatch/src/stock/loading.rs
+++ b/crates/apricotwell_dispatch/src/placement/loading.rs
@@ -5,7 +5,7 @@
 use apricotwell_types::ServerId;
 
 use super::plan::{Plan, free_memory};
-use super::{Intent, PARALLEL_FETCHES, RARE_RATE, StockPlanner, UNLOAD_TIME};
+use super::{Intent, PARALLEL_FETCHES, PlacementPlanner, RARE_RATE, UNLOAD_TIME};
 use crate::catalog::ModelSpec;
 use crate::model::ModelName;
 use crate::orders::{Operation, ServerOrders};
@@ -36,7 +36,7 @@
     pub(super) cost: f64,
 }
 
-impl StockPlanner {
+impl PlacementPlanner {
     // Loads a model where it is there first.
     pub(super) fn bring(
         &mut self,
--- a/crates/apricotwell_dispatch/src/prompts.rs
+++ b/crates/apricotwell_dispatch/src/prompt_cache.rs
@@ -5,26 +5,31 @@
 use apricotwell_types::{Map, ServerId};
 
 use crate::call::PromptPart;
-use crate::model::Wanted;
+use crate::model::RequestedModel;
 
 /// Parts remembered for one server.
 const PARTS_PER_SERVER: usize = 512;
 
 /// Parts of prompts that servers have likely cached; a wrong entry costs speed only.
 #[derive(Debug, Default)]
-pub struct PromptTable {
+pub struct PromptCacheTable {
     servers: Map<ServerId, ServerPrompts>,
 }
 
 #[derive(Debug, Default)]
 struct ServerPrompts {
-    parts: Map<(Wanted, u64), ()>,
-    ages: VecDeque<(Wanted, u64)>,
+    parts: Map<(RequestedModel, u64), ()>,
+    ages: VecDeque<(RequestedModel, u64)>,
 }
 
-impl PromptTable {
+impl PromptCacheTable {
     /// Notes that a server reads a prompt.
-    pub fn note_sent(&mut self, server: &ServerId, wanted: &Wanted, prompt: &[PromptPart]) {
+    pub fn record_sent(
+        &mut self,
+        server: &ServerId,
+        wanted: &RequestedModel,
+        prompt: &[PromptPart],
+    ) {
         let known = self.servers.entry(server.clone()).or_default();
         for part in prompt {
             let key = (wanted.clone(), part.id);
@@ -40,7 +45,12 @@
     }
 
     /// Returns the tokens of a prompt that a server has to read.
-    pub fn tokens_to_read(&self, server: &str, wanted: &Wanted, prompt: &[PromptPart]) -> f64 {
+    pub fn uncached_tokens(
+        &self,
+        server: &str,
+        wanted: &RequestedModel,
+        prompt: &[PromptPart],
+    ) -> f64 {
         let total: u64 = prompt.iter().map(|part| part.tokens).sum();
         let Some(known) = self.servers.get(server) else {
             return total as f64;
@@ -54,7 +64,7 @@
     }
 
     /// Forgets a server that left.
-    pub fn forget(&mut self, server: &str) {
+    pub fn remove_server(&mut self, server: &str) {
         self.servers.remove(server);
     }
 }
--- a/crates/apricotwell_dispatch/src/quota.rs
+++ b/crates/apricotwell_dispatch/src/quota.rs
@@ -49,13 +49,13 @@
 
 /// Why tokens can't be spent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shortage {
+pub struct QuotaExceeded {
     /// Tokens left in the window; negative after an overdraft.
     pub level: f64,
     /// Part of rate and burst that the instance's view stands for.
-    pub part: f64,
+    pub share: f64,
     /// Time after which the tokens will be there.
-    pub wait: Duration,
+    pub retry_after: Duration,
 }
 
 /// Windows of all organisations as one instance sees them.
@@ -100,7 +100,7 @@
     ///
     /// What was spent so far was spent by all: the part that is no longer heard takes its share of it
     /// along, and brings it back when it is heard again.
-    pub fn set_part(&mut self, heard: usize, possible: usize) {
+    pub fn set_share(&mut self, heard: usize, possible: usize) {
         self.heard = heard.max(1);
         let part = heard as f64 / possible.max(heard).max(1) as f64;
         if part == self.part {
@@ -123,7 +123,7 @@
         now: Instant,
         organisation: &Organisation,
         tokens: Tokens,
-    ) -> Result<(), Shortage> {
+    ) -> Result<(), QuotaExceeded> {
         if organisation.rate == 0 {
             return Ok(());
         }
@@ -140,13 +140,21 @@
         if missing > 0.0 && is_settling {
             // Its part grows with each instance that it hears.
             let wait = SETTLING_WAIT.mul_f64(1.0 + phase);
-            return Err(Shortage { level, part, wait });
+            return Err(QuotaExceeded {
+                level,
+                share: part,
+                retry_after: wait,
+            });
         }
         if missing > 0.0 {
             let rate = window.limit * part / (span * SPANS).as_secs_f64() / heard;
             let turn = Turn { cost, rate, phase };
             let wait = window.take_turn(now, span, missing, turn);
-            return Err(Shortage { level, part, wait });
+            return Err(QuotaExceeded {
+                level,
+                share: part,
+                retry_after: wait,
+            });
         }
         window.add(cost);
         window.spent += tokens;
@@ -174,7 +182,7 @@
     }
 
     /// Returns whether others should hear of spending at once.
-    pub fn is_tight(&mut self, now: Instant, organisation: &Organisation) -> bool {
+    pub fn is_near_limit(&mut self, now: Instant, organisation: &Organisation) -> bool {
         if organisation.rate == 0 {
             return false;
         }
@@ -227,7 +235,7 @@
     }
 
     /// Returns whether some organisation is close to its limit.
-    pub fn is_any_tight(&self) -> bool {
+    pub fn is_any_near_limit(&self) -> bool {
         let part = self.part;
         self.windows
             .values()
@@ -244,7 +252,7 @@
     }
 
     /// Notes that the others were told what this instance has spent.
-    pub fn note_told(&mut self, now: Instant) {
+    pub fn mark_reported(&mut self, now: Instant) {
         for window in self.windows.values_mut() {
             window.untold = 0;
             window.told_at = now;
@@ -253,7 +261,7 @@
 
     /// Applies what another instance has spent since its start `incarnation`, and what it knows of the
     /// `fleet`: that counts only when the instance is first heard, as this one may just have started.
-    pub fn note_spending(
+    pub fn apply_spending(
         &mut self,
         now: Instant,
         instance: &InstanceId,
--- a/crates/apricotwell_dispatch/src/retries.rs
+++ b/crates/apricotwell_dispatch/src/retries.rs
@@ -22,13 +22,13 @@
 /// Each instance keeps to the ratio of the requests that it took itself and to an even part of the
 /// slack, so the sum over all instances stays within the bounds whatever messages are lost.
 #[derive(Debug)]
-pub struct RetryWindow {
+pub struct RetryBudget {
     bounds: RetryBounds,
     requests: VecDeque<Instant>,
     retries: VecDeque<Instant>,
 }
 
-impl RetryWindow {
+impl RetryBudget {
     /// Returns an empty window.
     pub fn new(bounds: RetryBounds) -> Self {
         Self {
@@ -39,13 +39,13 @@
     }
 
     /// Notes a request from a caller.
-    pub fn note_request(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
     /// Takes one second attempt, if the part of an instance among `instances` has one left.
-    pub fn take(&mut self, now: Instant, instances: usize) -> bool {
+    pub fn try_take(&mut self, now: Instant, instances: usize) -> bool {
         self.expire(now);
         let slack = self.bounds.slack / instances.max(1) as f64;
         let allowed = USED_SHARE * (self.bounds.ratio * self.requests.len() as f64 + slack);
--- a/crates/apricotwell_dispatch/tests/dispatcher.rs
+++ b/crates/apricotwell_dispatch/tests/dispatcher.rs
@@ -116,7 +116,7 @@
         path: "/draft/x".to_owned(),
         key: Some(KeyDigest::of_secret("key")),
         deadline: None,
-        wanted: Some(Wanted {
+        wanted: Some(RequestedModel {
             model: model.into(),
             adapter: None,
         }),
--- a/crates/apricotwell_dispatch/tests/engines/engines.rs
+++ b/crates/apricotwell_dispatch/tests/engines/engines.rs
@@ -8,8 +8,8 @@
 use apricotwell_dispatch::catalog::{EngineSpec, ModelSpec, Service};
 use apricotwell_dispatch::model::Holdings;
 use apricotwell_dispatch::news::StockNews;
-use apricotwell_dispatch::orders::{Operation, OrderReply, Report};
-use apricotwell_dispatch::stock::{Order, StockPlanner};
+use apricotwell_dispatch::orders::{Operation, OrderReply, StatusReport};
+use apricotwell_dispatch::placement::{Order, PlacementPlanner};
 use apricotwell_messages::{ModelUse, ServerStock};
 
 const TICK: Duration = Duration::from_millis(20);
@@ -45,7 +45,7 @@
     under_way: Option<(Operation, Instant, bool)>,
     late: Vec<(Instant, Order)>,
     // What a report tells: states with the time since which they held.
-    history: Vec<(Instant, Report)>,
+    history: Vec<(Instant, StatusReport)>,
 }
 
 pub(crate) struct Engines {
@@ -54,7 +54,7 @@
     service: Service,
     engines: BTreeMap<String, Engine>,
     table: BackendTable,
-    planner: StockPlanner,
+    planner: PlacementPlanner,
     rates: BTreeMap<String, f64>,
     waiting: BTreeMap<(String, String), u32>,
     lost: f64,
@@ -79,7 +79,7 @@
             service: service(&names, setup),
             engines: BTreeMap::new(),
             table: BackendTable::default(),
-            planner: StockPlanner::default(),
+            planner: PlacementPlanner::default(),
             rates: BTreeMap::new(),
             waiting: BTreeMap::new(),
             lost: 0.0,
@@ -283,10 +283,11 @@
             let entry = self.entry(id);
             self.table.note_entry(self.now, entry);
         }
-        self.planner.follow(self.now, &self.table, &self.service);
+        self.planner
+            .sync_servers(self.now, &self.table, &self.service);
         for id in self.planner.take_due_reports(self.now) {
             let report = self.report(&id);
-            self.planner.note_report(self.now, &id, report);
+            self.planner.apply_report(self.now, &id, report);
         }
         let uses = self.uses();
         let orders = self
@@ -295,7 +296,7 @@
         for order in orders {
             self.orders.push(order.operation.clone());
             let reply = self.give(&order);
-            self.planner.note_reply(self.now, &order.server, reply);
+            self.planner.apply_reply(self.now, &order.server, reply);
         }
         let fetching = |engine: &&Engine| matches!(engine.under_way, Some((_, _, true)));
         let fetches = self.engines.values().filter(fetching).count();
@@ -339,7 +340,7 @@
         }
     }
 
-    fn report(&mut self, id: &str) -> Option<Report> {
+    fn report(&mut self, id: &str) -> Option<StatusReport> {
         let seen = self.now - REPORT_LAG;
         let engine = &self.engines[id];
         let old = engine
@@ -371,7 +372,7 @@
             self.carry_out(&order);
         }
         let engine = self.engines.get_mut(id).unwrap();
-        let report = Report {
+        let report = StatusReport {
             busy: engine.under_way.is_some(),
             holdings: engine.holdings(engine.orders),
             incoming: Vec::new(),
--- a/crates/apricotwell_dispatch/tests/quota.rs
+++ b/crates/apricotwell_dispatch/tests/quota.rs
@@ -50,7 +50,7 @@
             // Hashes of ids, as even as chance.
             let phase = (index as f64 * 0.618).fract();
             let mut table = QuotaTable::new(BOUNDS, true).with_phase(phase);
-            table.set_part(instances, instances);
+            table.set_share(instances, instances);
             table
         };
         Self {
@@ -75,7 +75,7 @@
     }
 
     fn is_tight(&mut self, at: Duration, instance: usize) -> bool {
-        self.tables[instance].is_tight(self.start + at, &self.organisation)
+        self.tables[instance].is_near_limit(self.start + at, &self.organisation)
     }
 
     fn tell(&mut self, at: Duration, from: usize) {
@@ -86,9 +86,9 @@
         let (spent, fleet) = told.first().copied().unwrap_or_default();
         let name: InstanceId = format!("instance-{from}").into();
         let now = self.start + at;
-        self.tables[from].note_told(now);
+        self.tables[from].mark_reported(now);
         for to in (0..self.tables.len()).filter(|to| *to != from) {
-            self.tables[to].note_spending(now, &name, 1, &self.organisation, spent, fleet);
+            self.tables[to].apply_spending(now, &name, 1, &self.organisation, spent, fleet);
         }
     }
 
@@ -142,7 +142,7 @@
             && let Some(started) = fleet.starting.take()
         {
             (0..INSTANCES).for_each(|from| fleet.tell(at, from));
-            fleet.tables[started].set_part(INSTANCES, INSTANCES);
+            fleet.tables[started].set_share(INSTANCES, INSTANCES);
         }
         if step % HEARTBEAT_STEPS == 0 && fleet.starting.is_none() {
             (0..INSTANCES).for_each(|from| fleet.tell(at, from));
@@ -197,7 +197,7 @@
                     admitted += 1;
                     fleet.spent.push((at, tokens));
                 }
-                Err(shortage) if is_first => back.push((at + shortage.wait, tokens)),
+                Err(shortage) if is_first => back.push((at + shortage.retry_after, tokens)),
                 Err(_) => {}
             }
         }
@@ -269,7 +269,7 @@
 fn instances_that_hear_nobody_use_their_part_only() {
     let mut fleet = Fleet::new(organisation(10_000, 10_000));
     for table in &mut fleet.tables {
-        table.set_part(1, INSTANCES);
+        table.set_share(1, INSTANCES);
     }
     for step in 0..1000 {
         for instance in 0..INSTANCES {
@@ -334,7 +334,7 @@
         fleet.tables[4] = QuotaTable::new(BOUNDS, false);
         fleet.tables[4].restore(fleet.start + at, &kept);
         // Until it hears the others it uses its part only.
-        fleet.tables[4].set_part(1, INSTANCES);
+        fleet.tables[4].set_share(1, INSTANCES);
         fleet.starting = Some(4);
         fleet.skip = at;
         play(&mut fleet, 8, 7.5, seed + 1);
@@ -351,7 +351,7 @@
     assert!(before.spend(now, &organisation, 45_000).is_ok());
     let mut table = QuotaTable::new(BOUNDS, false);
     table.restore(now, &before.snapshot(now));
-    table.set_part(1, INSTANCES);
+    table.set_share(1, INSTANCES);
     assert!(table.spend(now, &organisation, 4_000).is_ok());
     assert!(table.spend(now, &organisation, 9_000).is_err());
 }
@@ -372,8 +372,8 @@
     let organisation = organisation(10_000, 10_000);
     let mut table = QuotaTable::new(BOUNDS, false);
     let shortage = table.spend(now, &organisation, 30_000).unwrap_err();
-    assert!(shortage.wait > Duration::ZERO && shortage.wait < BOUNDS.window);
-    let later = now + shortage.wait + BOUNDS.window / 16;
+    assert!(shortage.retry_after > Duration::ZERO && shortage.retry_after < BOUNDS.window);
+    let later = now + shortage.retry_after + BOUNDS.window / 16;
     assert!(table.spend(later, &organisation, 30_000).is_ok());
 }
 
@@ -388,9 +388,9 @@
         let sums = [0, 500, 900, 900, 2_500, 4_000];
         let mut table = QuotaTable::new(BOUNDS, true);
         let name: InstanceId = "other".into();
-        table.note_spending(now, &name, 1, &organisation, 0, 0);
+        table.apply_spending(now, &name, 1, &organisation, 0, 0);
         for index in &order {
-            table.note_spending(now, &name, 1, &organisation, sums[*index], 0);
+            table.apply_spending(now, &name, 1, &organisation, sums[*index], 0);
         }
         let last = order.last().map_or(0, |index| sums[*index]);
         let mut spent = 0;
@@ -407,10 +407,13 @@
     let now = Instant::now();
     let organisation = organisation(8_669, 8_669);
     let mut table = QuotaTable::new(BOUNDS, true).with_phase(0.9);
-    table.set_part(1, MANY);
+    table.set_share(1, MANY);
     for number in 0..50 {
         let at = now + Duration::from_millis(number * 20);
         let shortage = table.spend(at, &organisation, 5000).unwrap_err();
-        assert!(shortage.wait < Duration::from_millis(1500), "{shortage:?}");
+        assert!(
+            shortage.retry_after < Duration::from_millis(1500),
+            "{shortage:?}"
+        );
     }
 }
--- a/crates/apricotwell_dispatch/tests/retries.rs
+++ b/crates/apricotwell_dispatch/tests/retries.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::retries::{RetryBounds, RetryWindow};
+use apricotwell_dispatch::retries::{RetryBounds, RetryBudget};
 
 const BOUNDS: RetryBounds = RetryBounds {
     ratio: 0.2,
@@ -14,15 +14,15 @@
 #[test]
 fn a_storm_over_all_instances_stays_within_the_bounds() {
     let now = Instant::now();
-    let mut windows: Vec<RetryWindow> = (0..INSTANCES).map(|_| RetryWindow::new(BOUNDS)).collect();
+    let mut windows: Vec<RetryBudget> = (0..INSTANCES).map(|_| RetryBudget::new(BOUNDS)).collect();
     let (mut requests, mut retries) = (0, 0);
     for second in 0..10 {
         let at = now + Duration::from_secs(second);
         for window in &mut windows {
             for _ in 0..20 {
-                window.note_request(at);
+                window.record_request(at);
                 requests += 1;
-                retries += u32::from(window.take(at, INSTANCES));
+                retries += u32::from(window.try_take(at, INSTANCES));
             }
         }
     }
@@ -34,8 +34,8 @@
 #[test]
 fn retries_leave_the_window() {
     let now = Instant::now();
-    let mut window = RetryWindow::new(BOUNDS);
-    while window.take(now, INSTANCES) {}
-    assert!(!window.take(now + BOUNDS.window, INSTANCES));
-    assert!(window.take(now + BOUNDS.window * 2, INSTANCES));
+    let mut window = RetryBudget::new(BOUNDS);
+    while window.try_take(now, INSTANCES) {}
+    assert!(!window.try_take(now + BOUNDS.window, INSTANCES));
+    assert!(window.try_take(now + BOUNDS.window * 2, INSTANCES));
 }
--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -219,13 +219,13 @@
         &self,
         address: SocketAddr,
         server: &ServerId,
-    ) -> impl Future<Output = Option<Report>>;
+    ) -> impl Future<Output = Option<StatusReport>>;
 
     /// Gives an order.
     fn order(
         &self,
         address: SocketAddr,
-        order: &apricotwell_dispatch::stock::Order,
+        order: &apricotwell_dispatch::placement::Order,
         holder: &str,
         fence: Fence,
     ) -> impl Future<Output = OrderReply>;
--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -242,7 +242,7 @@
                     .with("kept_ms", keep.map(|keep| keep.as_millis() as u64))
                     .log();
                 dispatcher.backends.note_removed(now, &id, keep);
-                dispatcher.prompts.forget(&id);
+                dispatcher.prompts.remove_server(&id);
                 let change = ListChange::Removed(id);
                 dispatcher.feeds.note_change(offset, &change);
             }
--- a/crates/apricotwell_gateway/src/guard.rs
+++ b/crates/apricotwell_gateway/src/guard.rs
@@ -92,7 +92,7 @@
 {
     gateway: Rc<Gateway<P>>,
     service: ServiceId,
-    wanted: Wanted,
+    wanted: RequestedModel,
     wait: u64,
 }
 
--- a/crates/apricotwell_gateway/src/heartbeats.rs
+++ b/crates/apricotwell_gateway/src/heartbeats.rs
@@ -167,7 +167,7 @@
         if audience == Audience::Everyone {
             dispatcher.note_told(now);
         }
-        let demand = dispatcher.demand.uses(now);
+        let demand = dispatcher.demand.model_uses(now);
         let holder = dispatcher.peers.lease_holder(now);
         (heartbeat, demand, holder, dispatcher.peers.targets())
     };
--- a/crates/apricotwell_gateway/src/placing.rs
+++ b/crates/apricotwell_gateway/src/placing.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use apricotwell_dispatch::placement::Order;
 use apricotwell_dispatch::prelude::*;
-use apricotwell_dispatch::stock::Order;
 use apricotwell_types::{Fence, ServerId};
 
 use crate::adapter::{Engines, Platform};
@@ -92,7 +92,7 @@
         .dispatcher
         .borrow_mut()
         .stock
-        .note_report(now, &server, report);
+        .apply_report(now, &server, report);
     gateway.planning.notify_one();
     gateway.restocked.notify_one();
 }
@@ -132,7 +132,7 @@
         if reply == OrderReply::Fenced {
             dispatcher.lease.note_fenced();
         }
-        dispatcher.stock.note_reply(now, &order.server, reply);
+        dispatcher.stock.apply_reply(now, &order.server, reply);
     }
     gateway.planning.notify_one();
     gateway.restocked.notify_one();
--- a/crates/apricotwell_gateway/src/ticket.rs
+++ b/crates/apricotwell_gateway/src/ticket.rs
@@ -296,8 +296,8 @@
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let prompts = &mut dispatcher.prompts;
-        let tokens = prompts.tokens_to_read(server, wanted, &self.call.prompt);
-        prompts.note_sent(server, wanted, &self.call.prompt);
+        let tokens = prompts.uncached_tokens(server, wanted, &self.call.prompt);
+        prompts.record_sent(server, wanted, &self.call.prompt);
         tokens
     }
 
