--- a/crates/apricotwell_dispatch/src/model.rs
+++ b/crates/apricotwell_dispatch/src/model.rs
@@ -4,10 +4,10 @@
 
 /// Name of a model.
 pub type ModelName = Arc<str>;
-/// Name of an adapter of some model.
+/// Name of an adapter of a model.
 pub type AdapterName = Arc<str>;
 
-/// Model that a request asks for, with an adapter or without.
+/// Model that a request is for, with an optional adapter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestedModel {
     /// Model.
@@ -16,21 +16,21 @@
     pub adapter: Option<AdapterName>,
 }
 
-/// What a server holds and what it can load without the weight store.
+/// Models that a server holds and weights that it can load without the weight store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Holdings {
-    /// Orders that the server had accepted when this was true, 0 where that isn't known.
+    /// Number of orders that the server had accepted in this state, 0 if unknown.
     pub orders: u64,
     /// Models that it can run, with their adapters.
     pub models: Vec<(ModelName, Vec<AdapterName>)>,
-    /// Models whose weights it has in memory.
+    /// Models whose weights are in its memory.
     pub in_memory: Vec<ModelName>,
-    /// Models whose weights it has on disk.
+    /// Models whose weights are on its disk.
     pub on_disk: Vec<ModelName>,
 }
 
 impl Holdings {
-    /// Returns the adapters held of a model, `None` if the model isn't held.
+    /// Returns the loaded adapters of a model, `None` if the model isn't loaded.
     pub fn adapters(&self, model: &str) -> Option<&[AdapterName]> {
         self.models
             .iter()
@@ -38,12 +38,12 @@
             .map(|(_, adapters)| adapters.as_slice())
     }
 
-    /// Returns whether a model with its adapter, if one is wanted, can be run.
-    pub fn serves(&self, wanted: &RequestedModel) -> bool {
-        let Some(adapters) = self.adapters(&wanted.model) else {
+    /// Returns whether the server can run the requested model and adapter.
+    pub fn serves(&self, requested: &RequestedModel) -> bool {
+        let Some(adapters) = self.adapters(&requested.model) else {
             return false;
         };
-        wanted
+        requested
             .adapter
             .as_ref()
             .is_none_or(|adapter| adapters.contains(adapter))
@@ -55,7 +55,7 @@
         self.on_disk.iter().any(is_model) || self.in_memory.iter().any(is_model)
     }
 
-    /// Returns the number of adapters held.
+    /// Returns the number of loaded adapters.
     pub fn adapter_count(&self) -> usize {
         self.models.iter().map(|(_, adapters)| adapters.len()).sum()
     }
--- a/crates/apricotwell_dispatch/src/orders.rs
+++ b/crates/apricotwell_dispatch/src/orders.rs
@@ -1,34 +1,34 @@
-//! Orders to one backend server: what it holds, what was ordered and what is not known yet.
+//! Orders to one backend server and the resulting state of the server.
 //!
-//! Every order names the count of orders that the server had accepted when the order was decided,
-//! and the server refuses it at any other count. So of two orders decided at one count at most one
-//! takes effect, however late either arrives, and each may be decided as if the other never was.
+//! Every order carries the number of orders that the server had accepted when the order was decided;
+//! the server rejects the order if its count differs. Of two orders decided at the same count at most
+//! one takes effect, however late either arrives, so each can be decided without regard to the other.
 
 use std::time::{Duration, Instant};
 
 use crate::model::{AdapterName, Holdings, ModelName};
 
-/// Time after an order without an answer, or a refused one, before the server is asked for its
-/// state: reports lag by some hundred milliseconds.
+/// Delay between a failed or unanswered order and the status request that follows it: reports lag by
+/// some hundred milliseconds.
 const REPORT_LAG: Duration = Duration::from_millis(350);
-/// Pause between reports of a server whose load should have ended.
+/// Interval between status requests to a server that has yet to finish an operation.
 const REPORT_PAUSE: Duration = Duration::from_millis(250);
-/// Pause before a server that gave no report is asked again.
+/// Delay before a failed status request is repeated.
 const REPORT_RETRY: Duration = Duration::from_millis(700);
-/// Time after its acceptance within which an adapter is counted on.
-const ADAPTER_LOAD: Duration = Duration::from_millis(40);
-/// Time between an unload and the next order, and between attempts at that order.
+/// Time after which an accepted adapter is considered loaded.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(40);
+/// Delay between an unload and the next order, and between retries of that order.
 const UNLOAD_PAUSE: Duration = Duration::from_millis(70);
-/// Time for which a conflict after an unload is taken to be that unload's.
-const LONGEST_UNLOAD: Duration = Duration::from_millis(500);
-/// Time after the expected end of a load from which requests are sent.
+/// Time after an unload in which a conflict is attributed to that unload.
+const MAX_UNLOAD_TIME: Duration = Duration::from_millis(500);
+/// Time between the expected end of a load and the first request for the model.
 const LOAD_MARGIN: Duration = Duration::from_millis(30);
-/// Time by which an entry of the list may be older than a report.
+/// Time by which the platform's list of servers may lag behind a report.
 const LIST_LAG: Duration = Duration::from_millis(2500);
-/// Share of an expected load after which the server is first asked whether it is done.
+/// Share of the expected load time after which the server is first asked for its status.
 const FIRST_REPORT_SHARE: f64 = 0.97;
 
-/// What a server is ordered to do.
+/// Operation that a server is ordered to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Load a model.
@@ -42,7 +42,7 @@
 }
 
 impl Operation {
-    /// Returns the operation's name, for logs.
+    /// Returns the name of the operation, for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::LoadModel(_) => "load_model",
@@ -71,31 +71,31 @@
     }
 }
 
-/// Answer to an order.
+/// Reply of a server to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// The server carries it out.
+    /// The server carries the order out.
     Accepted,
-    /// What was ordered holds already.
+    /// The server is already in the ordered state.
     Holds,
-    /// Another order is under way, or the count of accepted orders differs.
+    /// Another order is in progress, or the count of accepted orders differs.
     Conflict,
-    /// The server has seen a higher fence.
+    /// The server has seen a higher fencing token.
     Fenced,
-    /// Another server has this address, or the order makes no sense to this one.
+    /// Another server has this address, or the order is invalid for this one.
     Refused,
-    /// No answer: it may take effect later.
+    /// No reply; the order may still take effect.
     Unknown,
 }
 
-/// State of a server as it reports it.
+/// Status that a server reports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StatusReport {
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// What it holds.
+    /// Models and adapters that the server holds.
     pub holdings: Holdings,
-    /// Adapters on their way to it; they take places as if they were there.
+    /// Adapters that are being loaded; each already occupies a slot.
     pub incoming: Vec<(ModelName, AdapterName)>,
 }
 
@@ -103,9 +103,9 @@
 struct Pending {
     operation: Operation,
     sent: Instant,
-    // Expected end; unknown until the server has accepted.
+    // Expected end, `None` until the server has accepted the order.
     ends: Option<Instant>,
-    // Whether a load that fetches from the weight store.
+    // Whether the operation fetches weights from the weight store.
     fetches: bool,
 }
 
@@ -113,66 +113,67 @@
 ///
 /// # Invariants
 ///
-/// At most one order is pending. `holdings` counts what the server holds for certain; a pending
-/// load takes memory besides it, and a pending unload frees none before the server reports it.
+/// At most one order is pending. `holdings` covers only what the server certainly holds: a pending
+/// load needs additional memory, and an unload frees none before the server has accepted it.
 #[derive(Clone, Debug)]
 pub struct ServerOrders {
     born: u64,
     holdings: Option<Holdings>,
     pending: Option<Pending>,
-    // Until when no order is given, after an unload.
-    pause: Option<Instant>,
+    // End of the pause after an unload, in which no order is given.
+    paused_until: Option<Instant>,
     // When the last unload was accepted.
-    unloaded: Option<Instant>,
-    // When to ask for the next report; `None` while one is under way or nothing is open.
+    unloaded_at: Option<Instant>,
+    // When to request the next report; `None` while a request is in flight or none is needed.
     report_due: Option<Instant>,
-    // When the report that is under way was asked for.
-    asked: Option<Instant>,
-    // When the last report came.
-    reported: Option<Instant>,
-    // Adapters whose load was accepted, with the time from which they are counted on.
-    adapters_from: Vec<(ModelName, AdapterName, Instant)>,
-    // Adapters whose unload was accepted; they take their places until a report lacks them.
-    adapters_leaving: Vec<(ModelName, AdapterName)>,
+    // When the report that is in flight was requested.
+    requested_at: Option<Instant>,
+    // When the last report was received.
+    reported_at: Option<Instant>,
+    // Adapters whose load was accepted, with the time from which requests can use them.
+    adapters_ready: Vec<(ModelName, AdapterName, Instant)>,
+    // Adapters whose unload was accepted; each occupies its slot until a report no longer lists it.
+    adapters_unloading: Vec<(ModelName, AdapterName)>,
 }
 
 impl ServerOrders {
-    /// Returns the orders of a server of which nothing is known yet.
+    /// Returns the state of a server that has not reported yet; its first report is due at once.
     pub fn new(now: Instant, born: u64) -> Self {
         Self {
             born,
             holdings: None,
             pending: None,
-            pause: None,
-            unloaded: None,
+            paused_until: None,
+            unloaded_at: None,
             report_due: Some(now),
-            asked: None,
-            reported: None,
-            adapters_from: Vec::new(),
-            adapters_leaving: Vec::new(),
+            requested_at: None,
+            reported_at: None,
+            adapters_ready: Vec::new(),
+            adapters_unloading: Vec::new(),
         }
     }
 
-    /// Returns the start of the server's process.
+    /// Returns the start number of the server's process.
     pub fn born(&self) -> u64 {
         self.born
     }
 
-    /// Returns what the server holds, `None` before its first report.
+    /// Returns the models and adapters that the server holds, `None` before its first report.
     pub fn holdings(&self) -> Option<&Holdings> {
         self.holdings.as_ref()
     }
 
-    /// Returns what requests can be sent for now: without adapters that are still on their way and
-    /// a model that is being unloaded.
+    /// Returns the models and adapters for which requests can be sent now.
+    ///
+    /// Leaves out adapters that are being loaded or unloaded and a model that is being unloaded.
     pub fn servable(&self, now: Instant) -> Option<Holdings> {
         let mut holdings = self.holdings.clone()?;
-        for (model, adapter, from) in &self.adapters_from {
-            if now < *from {
+        for (model, adapter, ready) in &self.adapters_ready {
+            if now < *ready {
                 remove_adapter(&mut holdings, model, adapter);
             }
         }
-        for (model, adapter) in &self.adapters_leaving {
+        for (model, adapter) in &self.adapters_unloading {
             remove_adapter(&mut holdings, model, adapter);
         }
         match self.operation() {
@@ -187,8 +188,8 @@
         Some(holdings)
     }
 
-    // Reports lag, so requests are sent once a load should have ended; the server turns them away
-    // if it has not.
+    // Reports lag, so requests are sent once a load should have ended; the server rejects them if it
+    // has not.
     fn should_be_loaded(&self, now: Instant) -> bool {
         let ends = self.pending.as_ref().and_then(|pending| pending.ends);
         ends.is_some_and(|ends| now >= ends + LOAD_MARGIN)
@@ -199,7 +200,7 @@
         self.pending.as_ref().map(|pending| &pending.operation)
     }
 
-    /// Returns the model that is being loaded and when that should end.
+    /// Returns the model that is being loaded and the expected end of the load.
     pub fn loading(&self) -> Option<(&ModelName, Instant)> {
         let pending = self.pending.as_ref()?;
         let Operation::LoadModel(model) = &pending.operation else {
@@ -213,30 +214,30 @@
         self.pending.as_ref().is_some_and(|pending| pending.fetches)
     }
 
-    /// Returns whether an adapter is about to leave.
+    /// Returns whether an adapter is being unloaded.
     pub fn is_unloading_adapter(&self, model: &str, adapter: &str) -> bool {
-        self.adapters_leaving
+        self.adapters_unloading
             .iter()
             .any(|(of, name)| **of == *model && **name == *adapter)
     }
 
-    /// Returns the number of adapters that are about to leave.
+    /// Returns the number of adapters that are being unloaded.
     pub fn unloading_adapters(&self) -> usize {
-        self.adapters_leaving.len()
+        self.adapters_unloading.len()
     }
 
-    /// Returns whether an order can be given.
+    /// Returns whether the server can be given an order now.
     pub fn is_free(&self, now: Instant) -> bool {
-        let paused = self.pause.is_some_and(|pause| now < pause);
+        let paused = self.paused_until.is_some_and(|until| now < until);
         self.pending.is_none() && self.holdings.is_some() && !paused
     }
 
-    /// Returns the count of accepted orders that an order names.
+    /// Returns the number of accepted orders that the next order must carry.
     pub fn expected_orders(&self) -> u64 {
         self.holdings.as_ref().map_or(0, |holdings| holdings.orders)
     }
 
-    /// Notes an order that is being sent.
+    /// Records an order that is being sent as pending.
     pub fn record_sent(&mut self, now: Instant, operation: Operation, fetches: bool) {
         self.pending = Some(Pending {
             operation,
@@ -246,7 +247,7 @@
         });
     }
 
-    /// Notes the answer to the pending order; `duration` is the time that it should take.
+    /// Applies the reply to the pending order; `duration` is the order's expected duration.
     pub fn apply_reply(&mut self, now: Instant, reply: OrderReply, duration: Duration) {
         let Some(pending) = &mut self.pending else {
             return;
@@ -258,13 +259,13 @@
                 if let Some(holdings) = &mut self.holdings {
                     holdings.orders += 1;
                 }
-                self.note_accepted(now, operation, duration);
+                self.apply_accepted(now, operation, duration);
             }
-            OrderReply::Holds => self.note_holds(now),
-            // The unload before this order has not ended.
-            OrderReply::Conflict if self.is_unloading(now) => {
+            OrderReply::Holds => self.apply_holds(now),
+            // The preceding unload has not ended.
+            OrderReply::Conflict if self.may_be_unloading(now) => {
                 self.pending = None;
-                self.pause = Some(now + UNLOAD_PAUSE);
+                self.paused_until = Some(now + UNLOAD_PAUSE);
             }
             OrderReply::Conflict
             | OrderReply::Fenced
@@ -275,7 +276,7 @@
         }
     }
 
-    fn note_accepted(&mut self, now: Instant, operation: Operation, duration: Duration) {
+    fn apply_accepted(&mut self, now: Instant, operation: Operation, duration: Duration) {
         let Some(holdings) = &mut self.holdings else {
             return;
         };
@@ -284,35 +285,36 @@
                 self.report_due = Some(now + duration.mul_f64(FIRST_REPORT_SHARE));
             }
             Operation::UnloadModel(model) => {
-                // Idle models go at once. Where requests still use one, the server is busy until
-                // they end and takes no other order, so counting on the place harms nothing.
+                // An idle model is unloaded at once. If requests still use it, the server is busy
+                // until they end and accepts no other order, so its memory can be counted as free.
                 holdings.models.retain(|(name, _)| *name != model);
                 self.pending = None;
-                self.pause = Some(now + UNLOAD_PAUSE);
-                self.unloaded = Some(now);
+                self.paused_until = Some(now + UNLOAD_PAUSE);
+                self.unloaded_at = Some(now);
             }
             Operation::LoadAdapter(model, adapter) => {
                 add_adapter(holdings, &model, &adapter);
-                let from = now + ADAPTER_LOAD;
-                self.adapters_from.retain(|(_, _, at)| now < *at);
-                self.adapters_from.push((model, adapter, from));
+                let ready = now + ADAPTER_LOAD_TIME;
+                self.adapters_ready.retain(|(_, _, at)| now < *at);
+                self.adapters_ready.push((model, adapter, ready));
                 self.pending = None;
             }
             Operation::UnloadAdapter(model, adapter) => {
-                // Requests still use it: its place is free only when a report lacks it.
-                self.adapters_leaving.push((model, adapter));
+                // Requests still use the adapter: its slot is free only when a report no longer
+                // lists it.
+                self.adapters_unloading.push((model, adapter));
                 self.report_due = Some(now + REPORT_LAG);
                 self.pending = None;
             }
         }
     }
 
-    fn is_unloading(&self, now: Instant) -> bool {
-        self.unloaded
-            .is_some_and(|at| now.saturating_duration_since(at) < LONGEST_UNLOAD)
+    fn may_be_unloading(&self, now: Instant) -> bool {
+        self.unloaded_at
+            .is_some_and(|at| now.saturating_duration_since(at) < MAX_UNLOAD_TIME)
     }
 
-    fn note_holds(&mut self, now: Instant) {
+    fn apply_holds(&mut self, now: Instant) {
         let Some(pending) = self.pending.take() else {
             return;
         };
@@ -321,7 +323,7 @@
         };
         match pending.operation {
             Operation::UnloadAdapter(model, adapter) => {
-                // The unload takes effect with the answer and counts as accepted.
+                // The adapter was unused: the unload took effect at once and counts as accepted.
                 remove_adapter(holdings, &model, &adapter);
                 holdings.orders += 1;
             }
@@ -333,26 +335,27 @@
         }
     }
 
-    /// Returns when the server next wants attention, if nothing else happens.
+    /// Returns when the next report is due, a load should have ended or a pause ends.
     pub fn next_due(&self) -> Option<Instant> {
         let ends = self.pending.as_ref().and_then(|pending| pending.ends);
         let loaded = ends.map(|ends| ends + LOAD_MARGIN);
-        let pause = self.pause.filter(|_| self.pending.is_none());
+        let pause = self.paused_until.filter(|_| self.pending.is_none());
         [self.report_due, loaded, pause].into_iter().flatten().min()
     }
 
-    /// Takes the due report, if one is due.
+    /// Returns whether a report must be requested now, and if so marks it as requested.
     pub fn take_due_report(&mut self, now: Instant) -> bool {
-        let due = self.asked.is_none() && self.report_due.is_some_and(|due| due <= now);
+        let due = self.requested_at.is_none() && self.report_due.is_some_and(|due| due <= now);
         if due {
             self.report_due = None;
-            self.asked = Some(now);
+            self.requested_at = Some(now);
         }
         due
     }
 
-    /// Compares what is known with the list's entry of the server, which lags: after a lasting
-    /// difference the server is asked.
+    /// Compares the known state with the platform's list of servers.
+    ///
+    /// The list lags, so a report is requested only if it differs some time after the last report.
     pub fn check_listed(&mut self, now: Instant, listed: &Holdings) {
         let Some(holdings) = &self.holdings else {
             return;
@@ -361,35 +364,36 @@
         let same =
             holdings.models.len() == listed.models.len() && !holdings.models.iter().any(differs);
         let is_recent = self
-            .reported
+            .reported_at
             .is_some_and(|at| now.saturating_duration_since(at) < LIST_LAG);
-        let is_open = self.pending.is_some() || self.asked.is_some() || self.report_due.is_some();
-        if !same && !is_recent && !is_open {
+        let is_unsettled =
+            self.pending.is_some() || self.requested_at.is_some() || self.report_due.is_some();
+        if !same && !is_recent && !is_unsettled {
             self.report_due = Some(now);
         }
     }
 
-    /// Applies a report, `None` if the server gave none.
+    /// Applies a report, `None` if the server did not answer.
     pub fn apply_report(&mut self, now: Instant, report: Option<StatusReport>) {
-        let asked = self.asked.take();
+        let requested_at = self.requested_at.take();
         let Some(report) = report else {
             self.report_due = Some(now + REPORT_RETRY);
             return;
         };
-        self.reported = Some(now);
+        self.reported_at = Some(now);
         if self
             .pending
             .as_ref()
-            .is_some_and(|pending| Some(pending.sent) >= asked)
+            .is_some_and(|pending| Some(pending.sent) >= requested_at)
         {
-            // The report may be older than the order.
+            // The report may predate the order.
             self.report_due.get_or_insert(now + REPORT_LAG);
             return;
         }
         let known = self.expected_orders();
         let is_old = self.holdings.is_some() && report.holdings.orders < known;
         if report.busy || is_old {
-            self.note_busy(now, report);
+            self.apply_busy_report(now, report);
             return;
         }
         let mut held = report.holdings;
@@ -398,21 +402,21 @@
         }
         self.holdings = Some(held);
         self.pending = None;
-        self.adapters_from.retain(|(_, _, from)| now < *from);
+        self.adapters_ready.retain(|(_, _, ready)| now < *ready);
         let holdings = &self.holdings;
-        self.adapters_leaving.retain(|(model, adapter)| {
+        self.adapters_unloading.retain(|(model, adapter)| {
             let held = holdings.as_ref().and_then(|held| held.adapters(model));
             held.is_some_and(|adapters| adapters.contains(adapter))
         });
-        if !self.adapters_leaving.is_empty() {
+        if !self.adapters_unloading.is_empty() {
             self.report_due = Some(now + REPORT_PAUSE);
         }
     }
 
-    fn note_busy(&mut self, now: Instant, report: StatusReport) {
+    fn apply_busy_report(&mut self, now: Instant, report: StatusReport) {
         self.report_due = Some(now + REPORT_PAUSE);
         let Some(holdings) = &mut self.holdings else {
-            // Nothing may be ordered before the order under way has ended.
+            // Nothing can be ordered until the order in progress has ended.
             return;
         };
         if report.holdings.orders > holdings.orders {
--- a/crates/apricotwell_dispatch/src/placement.rs
+++ b/crates/apricotwell_dispatch/src/placement.rs
@@ -1,9 +1,9 @@
-//! Which server holds which models.
+//! Placement of models and adapters on backend servers.
 //!
-//! The holder of the placement lease decides here what to load and what to drop. It answers the
-//! load of many models that are asked for rarely and few that are asked for all the time, on servers
-//! that hold a few models each: a model that waits for the weight store is late, one that comes
-//! from a server's own disk or memory is on time.
+//! The holder of the placement lease decides which models each server loads and evicts. Most models
+//! are requested rarely and a few all the time, while each server holds only a few models at once.
+//! A request meets its deadline if its model is loaded from the server's own disk or memory, and
+//! misses it if the weights are first fetched from the weight store.
 
 mod adapters;
 mod demand;
@@ -22,67 +22,70 @@
 use crate::orders::{Operation, OrderReply, ServerOrders, StatusReport};
 
 use demand::FleetDemand;
-use loading::Patience;
+use loading::Candidates;
 use plan::Plan;
 
-/// Loads from the weight store that run at once at full speed.
+/// Number of concurrent loads that the weight store serves at full speed.
 const PARALLEL_FETCHES: usize = 4;
-/// Requests a second for which a model gets one more replica.
+/// Requests per second served by one replica of a model.
 const REPLICA_RATE: f64 = 2.5;
-/// Rate from which a model that no server holds is brought though no request waits for it.
-const REFUSED_RATE: f64 = 0.3;
-/// Rate below which a model counts as rare, in requests a second.
+/// Requests per second from which a model that no server holds is loaded even if no request waits
+/// for it.
+const UNMET_RATE: f64 = 0.3;
+/// Requests per second below which a model counts as rarely used.
 const RARE_RATE: f64 = 0.6;
-/// Requests of a service from which its rates say which models are in use.
-const KNOWN_RATE: f64 = 4.0;
-/// Time that an unload takes when nothing runs.
+/// Requests per second to a service from which the rates of its models are considered
+/// representative.
+const MIN_TOTAL_RATE: f64 = 4.0;
+/// Duration of an unload when no request uses the model.
 const UNLOAD_TIME: Duration = Duration::from_millis(60);
-/// Share of its replicas below which a busy model goes before rare ones that requests wait for.
+/// Share of a busy model's target replicas that is loaded before rarely used models with waiting
+/// requests.
 const SHORTAGE_SHARE: f64 = 0.6;
-/// Copies that only one server has and that are not held there, up to which the server fetches
-/// ahead: while it does, requests for them wait.
-const MAX_STRANDED: usize = 2;
+/// Most unloaded models for which a server may have the only copy and still prefetch another one:
+/// requests for those models wait while it fetches.
+const MAX_SOLE_COPIES: usize = 2;
 
-/// Order to a server.
+/// Order for a server to load or unload a model or an adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Server.
+    /// Server that receives the order.
     pub server: ServerId,
-    /// What to do.
+    /// Operation to carry out.
     pub operation: Operation,
-    /// Orders that the server had accepted when this one was decided.
+    /// Number of orders that the server had accepted when this one was decided.
     pub expected: u64,
-    /// Why, for logs.
+    /// Reason for the order, for logs.
     pub reason: &'static str,
 }
 
-/// Decides what servers hold.
+/// Decides which models and adapters each server holds.
 #[derive(Debug, Default)]
 pub struct PlacementPlanner {
     servers: BTreeMap<ServerId, ServerOrders>,
-    // When a model was last asked for or loaded.
-    used: Map<ModelName, Instant>,
-    // When the pending order of a server was expected to take, for its answer.
-    durations: Map<ServerId, Duration>,
-    // Replicas that a model had when the planner first saw the service.
-    initial: Map<ModelName, usize>,
-    // Models to load at servers that are making room for them.
-    intents: BTreeMap<ServerId, Intent>,
+    // When requests last waited for a model or its last load ended.
+    last_used: Map<ModelName, Instant>,
+    // Expected duration of each server's last order; starts to count when the server accepts it.
+    order_durations: Map<ServerId, Duration>,
+    // Replicas of each model when all servers of the service had first reported.
+    initial_replicas: Map<ModelName, usize>,
+    // Models to load once the server has unloaded another model for them.
+    planned_loads: BTreeMap<ServerId, PlannedLoad>,
 }
 
 #[derive(Clone, Debug)]
-struct Intent {
+struct PlannedLoad {
     model: ModelName,
     reason: &'static str,
 }
 
 impl PlacementPlanner {
-    /// Forgets everything, when the lease is lost.
+    /// Clears all state; called while the instance does not hold the lease.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Follows the list of servers.
+    /// Adds new and restarted servers of a service and drops servers that are no longer usable.
     pub fn sync_servers(&mut self, now: Instant, backends: &BackendTable, service: &Service) {
         for backend in backends.usable(now, &service.name) {
             let entry = &backend.entry;
@@ -101,14 +104,14 @@
         });
     }
 
-    /// Returns the time until some server next wants attention.
+    /// Returns the time until the next server has a report due or can take an order.
     pub fn next_due(&self, now: Instant) -> Option<Duration> {
         let due = self.servers.values().filter_map(ServerOrders::next_due);
         let next = due.filter(|due| *due > now).min()?;
         Some(next.saturating_duration_since(now))
     }
 
-    /// Takes the servers that are to be asked for a report now.
+    /// Returns the servers that must be asked for a report now and marks their reports as requested.
     pub fn take_due_reports(&mut self, now: Instant) -> Vec<ServerId> {
         let due = self
             .servers
@@ -117,7 +120,7 @@
         due.collect()
     }
 
-    /// Applies a report.
+    /// Applies a server's report, `None` if the server did not answer.
     pub fn apply_report(&mut self, now: Instant, id: &str, report: Option<StatusReport>) {
         let Some(server) = self.servers.get_mut(id) else {
             return;
@@ -127,24 +130,24 @@
         if let Some(model) = loaded
             && server.is_free(now)
         {
-            self.used.insert(model, now);
+            self.last_used.insert(model, now);
         }
     }
 
-    /// Applies the answer to an order.
+    /// Applies a server's reply to an order.
     pub fn apply_reply(&mut self, now: Instant, id: &str, reply: OrderReply) {
-        let duration = self.durations.get(id).copied().unwrap_or_default();
+        let duration = self.order_durations.get(id).copied().unwrap_or_default();
         if let Some(server) = self.servers.get_mut(id) {
             server.apply_reply(now, reply, duration);
         }
     }
 
-    /// Returns the state of every server, to tell the other instances.
+    /// Returns the state of every server, for broadcasting to the other instances.
     pub fn servers(&self) -> impl Iterator<Item = (&ServerId, &ServerOrders)> {
         self.servers.iter()
     }
 
-    /// Decides the next orders for one service; at most one for each server.
+    /// Returns the next orders for one service, at most one per server.
     pub fn plan<'a, I>(
         &mut self,
         now: Instant,
@@ -160,14 +163,14 @@
         };
         let demand = FleetDemand::sum(&service.name, uses);
         for model in demand.waiting_models() {
-            self.used.insert(model.clone(), now);
+            self.last_used.insert(model.clone(), now);
         }
         let mut plan = Plan::new(now, engine, backends.usable(now, &service.name), demand);
         self.count_holders(&mut plan);
-        self.note_initial(&plan);
-        self.follow_intents(&mut plan);
+        self.record_initial(&plan);
+        self.start_planned_loads(&mut plan);
         self.plan_adapters(&mut plan);
-        // A busy model that lacks servers makes more requests late than a rare one that waits.
+        // A busy model with too few replicas delays more requests than a rare one that waits.
         self.plan_replicas(&mut plan, SHORTAGE_SHARE);
         self.plan_waiting(&mut plan);
         self.plan_replicas(&mut plan, 1.0);
@@ -175,17 +178,18 @@
         plan.orders
     }
 
-    // Models that many servers hold at the start are the busy ones, before any request tells so.
-    fn note_initial(&mut self, plan: &Plan<'_>) {
-        if !self.initial.is_empty() || !self.knows_all(plan) {
+    // Until request rates are known, the models with many replicas are taken to be the busy ones.
+    fn record_initial(&mut self, plan: &Plan<'_>) {
+        if !self.initial_replicas.is_empty() || !self.all_reported(plan) {
             return;
         }
         for model in plan.engine.models.keys() {
-            self.initial.insert(model.clone(), plan.replicas(model));
+            self.initial_replicas
+                .insert(model.clone(), plan.replicas(model));
         }
     }
 
-    fn knows_all(&self, plan: &Plan<'_>) -> bool {
+    fn all_reported(&self, plan: &Plan<'_>) -> bool {
         !plan.backends.is_empty()
             && plan.backends.keys().all(|id| {
                 let server = self.servers.get(id);
@@ -193,41 +197,43 @@
             })
     }
 
-    // Loads what room was made for.
-    fn follow_intents(&mut self, plan: &mut Plan<'_>) {
-        self.intents.retain(|id, _| self.servers.contains_key(id));
+    // Starts the loads for which another model has been unloaded.
+    fn start_planned_loads(&mut self, plan: &mut Plan<'_>) {
+        self.planned_loads
+            .retain(|id, _| self.servers.contains_key(id));
         let ready: Vec<ServerId> = self
-            .intents
+            .planned_loads
             .keys()
             .filter(|id| plan.backends.contains_key(*id) && self.can_order(plan, id))
             .cloned()
             .collect();
         for id in ready {
-            let Some(intent) = self.intents.remove(&id) else {
+            let Some(load) = self.planned_loads.remove(&id) else {
                 continue;
             };
-            plan.note_dropped(&intent.model);
-            if let Some(spec) = plan.engine.model(&intent.model) {
-                self.load_at(plan, &id, spec, intent.reason);
+            plan.remove_replica(&load.model);
+            if let Some(spec) = plan.engine.model(&load.model) {
+                self.load_on(plan, &id, spec, load.reason);
             }
         }
     }
 
-    // Whether a server holds or loads a model, or makes room for it, and isn't about to drop it.
-    fn keeps(&self, id: &str, model: &str) -> bool {
-        let intended = self.intents.get(id);
-        intended.is_some_and(|intent| *intent.model == *model)
+    // Returns whether a server holds or is loading a model, or unloads another one for it, and is
+    // not unloading it.
+    fn will_hold(&self, id: &str, model: &str) -> bool {
+        let planned = self.planned_loads.get(id);
+        planned.is_some_and(|load| *load.model == *model)
             || self
                 .servers
                 .get(id)
-                .is_some_and(|server| keeps(server, model))
+                .is_some_and(|server| will_hold(server, model))
     }
 
-    // Counts for each model the servers that keep it and those that have a copy of it.
+    // Counts each model's replicas and collects the servers that have a copy of it on disk.
     fn count_holders(&self, plan: &mut Plan<'_>) {
         let ids: Vec<ServerId> = plan.backends.keys().cloned().collect();
         for id in ids {
-            let intended = self.intents.get(&id).map(|intent| &intent.model);
+            let planned = self.planned_loads.get(&id).map(|load| &load.model);
             let Some(server) = self.servers.get(&id) else {
                 continue;
             };
@@ -243,54 +249,59 @@
             let kept = held
                 .filter(|model| Some(*model) != dropped)
                 .chain(loading)
-                .chain(intended);
-            plan.note_holder(&id, kept, &holdings.on_disk);
+                .chain(planned);
+            plan.add_server(&id, kept, &holdings.on_disk);
         }
     }
 
-    fn wanted_replicas(&self, plan: &Plan<'_>, model: &str) -> usize {
+    fn target_replicas(&self, plan: &Plan<'_>, model: &str) -> usize {
         let rate = plan.demand.rate(model);
-        if plan.demand.total_rate < KNOWN_RATE {
-            return self.initial.get(model).copied().unwrap_or_default().max(1);
+        if plan.demand.total_rate < MIN_TOTAL_RATE {
+            return self
+                .initial_replicas
+                .get(model)
+                .copied()
+                .unwrap_or_default()
+                .max(1);
         }
         ((rate / REPLICA_RATE).ceil() as usize).max(1)
     }
 
-    // Models that requests wait for and that no server holds or loads.
+    // Loads models that requests wait for and that no server holds or loads.
     fn plan_waiting(&mut self, plan: &mut Plan<'_>) {
-        // Requests that were refused for want of the model don't wait, but come back.
-        let refused = plan.demand.busiest(REFUSED_RATE);
+        // Requests refused because no server holds the model don't wait, but clients retry them.
+        let refused = plan.demand.busiest(UNMET_RATE);
         for model in plan.demand.most_urgent().into_iter().chain(refused) {
             let Some(spec) = plan.engine.model(&model) else {
                 continue;
             };
             if plan.replicas(&model) == 0 {
-                self.bring(plan, spec, Patience::AnyServer, "requests_wait");
+                self.place_replica(plan, spec, Candidates::All, "requests_wait");
             }
         }
     }
 
-    // Models that are asked for so often that they need more replicas, up to a share of those.
+    // Adds replicas of busy models, up to a share of their target number.
     fn plan_replicas(&mut self, plan: &mut Plan<'_>, share: f64) {
-        if plan.demand.total_rate < KNOWN_RATE {
+        if plan.demand.total_rate < MIN_TOTAL_RATE {
             return;
         }
         for model in plan.demand.busiest(RARE_RATE) {
             let Some(spec) = plan.engine.model(&model) else {
                 continue;
             };
-            let wanted = self.wanted_replicas(plan, &model).min(plan.backends.len());
-            let wanted = (wanted as f64 * share).floor() as usize;
-            // The first replica is brought for those who wait, on whatever server has it first.
-            for _ in plan.replicas(&model).max(1)..wanted {
-                self.bring(plan, spec, Patience::FreeOnly, "more_replicas");
+            let target = self.target_replicas(plan, &model).min(plan.backends.len());
+            let target = (target as f64 * share).floor() as usize;
+            // The first replica is loaded by `plan_waiting`, wherever it is ready first.
+            for _ in plan.replicas(&model).max(1)..target {
+                self.place_replica(plan, spec, Candidates::IdleOnly, "more_replicas");
             }
         }
     }
 
-    // Models that no server has a copy of.
+    // Prefetches models that no server holds or has on disk.
     fn plan_fetches(&mut self, plan: &mut Plan<'_>) {
-        if !self.knows_all(plan) {
+        if !self.all_reported(plan) {
             return;
         }
         let missing: Vec<&ModelSpec> = plan
@@ -300,19 +311,19 @@
             .filter(|spec| !plan.has_copy(&spec.name))
             .collect();
         for spec in missing {
-            if self.fetches() >= PARALLEL_FETCHES {
+            if self.fetch_count() >= PARALLEL_FETCHES {
                 return;
             }
             self.fetch_ahead(plan, spec);
         }
     }
 
-    fn fetches(&self) -> usize {
+    fn fetch_count(&self) -> usize {
         let is_planned = |id: &ServerId, server: &ServerOrders| {
-            self.intents.get(id).is_some_and(|intent| {
+            self.planned_loads.get(id).is_some_and(|load| {
                 server
                     .holdings()
-                    .is_some_and(|holdings| !holdings.is_cached(&intent.model))
+                    .is_some_and(|holdings| !holdings.is_cached(&load.model))
             })
         };
         self.servers
@@ -325,23 +336,23 @@
         let best = plan
             .backends
             .keys()
-            .filter(|id| self.can_order(plan, id) && !self.intents.contains_key(*id))
+            .filter(|id| self.can_order(plan, id) && !self.planned_loads.contains_key(*id))
             .filter_map(|id| {
-                let room = self.room_for(plan, id, spec)?;
-                if room.cost > RARE_RATE {
+                let eviction = self.plan_eviction(plan, id, spec)?;
+                if eviction.cost > RARE_RATE {
                     return None;
                 }
-                let stranded = self.stranded(plan, id);
-                (stranded <= MAX_STRANDED).then_some((stranded, room.cost, id.clone()))
+                let sole_copies = self.sole_copies(plan, id);
+                (sole_copies <= MAX_SOLE_COPIES).then_some((sole_copies, eviction.cost, id.clone()))
             })
             .min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
         if let Some((_, _, id)) = best {
-            self.load_at(plan, &id, spec, "fetch_ahead");
+            self.load_on(plan, &id, spec, "fetch_ahead");
         }
     }
 
-    /// Returns the models that only this server has a copy of and that no server holds.
-    fn stranded(&self, plan: &Plan<'_>, id: &str) -> usize {
+    // Returns the number of models that no server holds and that only this server has on disk.
+    fn sole_copies(&self, plan: &Plan<'_>, id: &str) -> usize {
         let Some(holdings) = self.servers.get(id).and_then(ServerOrders::holdings) else {
             return 0;
         };
@@ -365,11 +376,11 @@
         let expected = server.expected_orders();
         server.record_sent(plan.now, operation.clone(), fetches);
         match &operation {
-            Operation::LoadModel(model) => plan.note_kept(model),
-            Operation::UnloadModel(model) => plan.note_dropped(model),
+            Operation::LoadModel(model) => plan.add_replica(model),
+            Operation::UnloadModel(model) => plan.remove_replica(model),
             Operation::LoadAdapter(..) | Operation::UnloadAdapter(..) => {}
         }
-        self.durations.insert(id.clone(), duration);
+        self.order_durations.insert(id.clone(), duration);
         plan.orders.push(Order {
             server: id.clone(),
             operation,
@@ -379,8 +390,8 @@
     }
 }
 
-// Whether a server holds or loads a model and isn't about to drop it.
-fn keeps(server: &ServerOrders, model: &str) -> bool {
+// Returns whether a server holds or is loading a model and is not unloading it.
+fn will_hold(server: &ServerOrders, model: &str) -> bool {
     match server.operation() {
         Some(Operation::LoadModel(loading)) if **loading == *model => return true,
         Some(Operation::UnloadModel(dropped)) if **dropped == *model => return false,
--- a/crates/apricotwell_dispatch/src/placement/adapters.rs
+++ b/crates/apricotwell_dispatch/src/placement/adapters.rs
@@ -1,19 +1,19 @@
-//! Which adapters servers hold.
+//! Placement of adapters.
 
 use super::plan::{Plan, free_memory};
 use super::{PlacementPlanner, UNLOAD_TIME};
 use crate::model::{AdapterName, ModelName};
 use crate::orders::{Operation, ServerOrders};
 
-/// Adapters on their way from the weight store at once, over all servers.
+/// Most adapters that one plan loads for a service; limits concurrent reads from the weight store.
 const PARALLEL_ADAPTERS: usize = 16;
 
 impl PlacementPlanner {
-    /// Loads adapters that requests wait for.
+    /// Loads adapters that requests wait for, or unloads others to free adapter slots for them.
     pub(super) fn plan_adapters(&mut self, plan: &mut Plan<'_>) {
-        let mut wanted = plan.demand.waiting_adapters();
-        wanted.truncate(PARALLEL_ADAPTERS);
-        for (model, adapter) in wanted {
+        let mut waiting = plan.demand.waiting_adapters();
+        waiting.truncate(PARALLEL_ADAPTERS);
+        for (model, adapter) in waiting {
             self.plan_adapter(plan, &model, &adapter);
         }
     }
@@ -32,6 +32,7 @@
         let Some(spec) = plan.engine.model(model) else {
             return;
         };
+        // The adapters of a model are named `a1`, `a2` and so on.
         let number = adapter.strip_prefix('a').and_then(|n| n.parse().ok());
         if number.is_none_or(|number: u32| number == 0 || number > spec.adapters) {
             return;
@@ -62,6 +63,7 @@
         }
     }
 
+    // Returns the order to unload the least requested adapter, `None` while an unload is pending.
     fn coldest_adapter(&self, plan: &Plan<'_>, id: &str) -> Option<Operation> {
         let server = self.servers.get(id)?;
         if server.unloading_adapters() > 0 {
--- a/crates/apricotwell_dispatch/src/placement/demand.rs
+++ b/crates/apricotwell_dispatch/src/placement/demand.rs
@@ -10,10 +10,12 @@
 /// Demand for one model.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ModelDemand {
+    // Requests per second.
     pub(super) rate: f64,
+    // Waiting requests.
     pub(super) waiting: u32,
-    // Time until the first waiting caller gives up.
-    patience: Option<Duration>,
+    // Time until the first waiting request times out.
+    timeout: Option<Duration>,
     // Waiting requests and rate by adapter.
     pub(super) adapters: BTreeMap<AdapterName, (u32, f64)>,
 }
@@ -22,37 +24,37 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetDemand {
     models: BTreeMap<ModelName, ModelDemand>,
-    /// Requests a second for all models.
+    /// Requests per second for all models.
     pub(super) total_rate: f64,
 }
 
 impl FleetDemand {
-    /// Adds up what the instances tell.
+    /// Sums the usage that the instances report for a service.
     pub(super) fn sum<'a, I>(service: &str, uses: I) -> Self
     where
         I: IntoIterator<Item = &'a ModelUse>,
     {
         let mut sums = Self::default();
-        for part in uses.into_iter().filter(|part| *part.service == *service) {
-            sums.add(part);
+        for usage in uses.into_iter().filter(|usage| *usage.service == *service) {
+            sums.add(usage);
         }
         sums
     }
 
-    fn add(&mut self, part: &ModelUse) {
-        let rate = f64::from(part.rate) / 1000.0;
+    fn add(&mut self, usage: &ModelUse) {
+        let rate = f64::from(usage.rate) / 1000.0;
         self.total_rate += rate;
-        let sum = self.models.entry(part.model.as_str().into()).or_default();
+        let sum = self.models.entry(usage.model.as_str().into()).or_default();
         sum.rate += rate;
-        sum.waiting += part.waiting;
-        if part.waiting > 0 {
-            let patience = Duration::from_millis(u64::from(part.patience));
-            sum.patience = Some(sum.patience.map_or(patience, |known| known.min(patience)));
+        sum.waiting += usage.waiting;
+        if usage.waiting > 0 {
+            let timeout = Duration::from_millis(u64::from(usage.patience));
+            sum.timeout = Some(sum.timeout.map_or(timeout, |known| known.min(timeout)));
         }
-        if !part.adapter.is_empty() {
-            let adapter = sum.adapters.entry(part.adapter.as_str().into());
+        if !usage.adapter.is_empty() {
+            let adapter = sum.adapters.entry(usage.adapter.as_str().into());
             let adapter = adapter.or_default();
-            adapter.0 += part.waiting;
+            adapter.0 += usage.waiting;
             adapter.1 += rate;
         }
     }
@@ -62,7 +64,7 @@
         self.models.get(model)
     }
 
-    /// Returns the requests a second for a model.
+    /// Returns the requests per second for a model.
     pub(super) fn rate(&self, model: &str) -> f64 {
         self.get(model).map_or(0.0, |demand| demand.rate)
     }
@@ -83,11 +85,11 @@
         waiting.collect()
     }
 
-    /// Returns the models that requests wait for, the first to give up first.
+    /// Returns the models that requests wait for, ordered by their earliest timeout.
     pub(super) fn most_urgent(&self) -> Vec<ModelName> {
         let mut waiting: Vec<(Option<Duration>, &ModelName)> = self
             .waiting_models()
-            .map(|model| (self.get(model).and_then(|demand| demand.patience), model))
+            .map(|model| (self.get(model).and_then(|demand| demand.timeout), model))
             .collect();
         waiting.sort();
         waiting
@@ -96,7 +98,7 @@
             .collect()
     }
 
-    /// Returns the models with at least `rate` requests a second, the busiest first.
+    /// Returns the models with at least `rate` requests per second, the busiest first.
     pub(super) fn busiest(&self, rate: f64) -> Vec<ModelName> {
         let mut busy: Vec<(f64, &ModelName)> = self
             .models
--- a/crates/apricotwell_dispatch/src/placement/loading.rs
+++ b/crates/apricotwell_dispatch/src/placement/loading.rs
@@ -1,70 +1,71 @@
-//! Where a model is loaded, and what has to go for it.
+//! Choice of the server that loads a model and of the model that it evicts.
 
 use std::time::{Duration, Instant};
 
 use apricotwell_types::ServerId;
 
 use super::plan::{Plan, free_memory};
-use super::{Intent, PARALLEL_FETCHES, PlacementPlanner, RARE_RATE, UNLOAD_TIME};
+use super::{PARALLEL_FETCHES, PlacementPlanner, PlannedLoad, RARE_RATE, UNLOAD_TIME};
 use crate::catalog::ModelSpec;
 use crate::model::ModelName;
 use crate::orders::{Operation, ServerOrders};
 
-/// Time that a request of a model runs.
-const RUN_TIME: Duration = Duration::from_secs(2);
-/// Time from the end of an order until the server is known to be free.
-const ORDER_TIME: Duration = Duration::from_millis(300);
-/// Time for which a model that was just loaded or asked for is not dropped.
-const RECENT: Duration = Duration::from_millis(2500);
+/// Typical duration of a request; an unload waits for the running ones.
+const REQUEST_TIME: Duration = Duration::from_secs(2);
+/// Time from the end of an order until a report shows it.
+const REPORT_DELAY: Duration = Duration::from_millis(300);
+/// Time after a load or a waiting request during which a model is not evicted.
+const EVICTION_GRACE: Duration = Duration::from_millis(2500);
 
-/// Whether a load may wait for a server that is busy with another order.
+/// Servers that are considered for a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Patience {
-    /// It may, if the model is there sooner.
-    AnyServer,
-    /// It may not: one more replica is wanted now, wherever.
-    FreeOnly,
+pub(super) enum Candidates {
+    /// All servers; a load may wait for a busy one if the model is ready sooner there.
+    All,
+    /// Only servers that can take an order now.
+    IdleOnly,
 }
 
-/// What has to go so that a model fits on a server.
-pub(super) struct Room {
-    /// Model to drop, if there is no room.
+/// Eviction that a server needs before it can load a model.
+pub(super) struct Eviction {
+    /// Model to unload, `None` if the memory is free already.
     pub(super) victim: Option<ModelName>,
-    /// Time until it is gone.
+    /// Time until it is unloaded.
     pub(super) time: Duration,
-    /// Requests a second that would miss it.
+    /// Requests per second that would find the model unloaded.
     pub(super) cost: f64,
 }
 
 impl PlacementPlanner {
-    // Loads a model where it is there first.
-    pub(super) fn bring(
+    // Loads a model on the server where it is ready first.
+    pub(super) fn place_replica(
         &mut self,
         plan: &mut Plan<'_>,
         spec: &ModelSpec,
-        patience: Patience,
+        candidates: Candidates,
         reason: &'static str,
     ) {
         let copies = plan.copies(&spec.name);
-        // The weight store is slow: it is asked only for what no further server has a copy of.
-        let is_used_up = copies.iter().all(|id| self.keeps(id, &spec.name));
-        let best = if is_used_up {
-            self.best_server(plan, plan.backends.keys(), spec, patience)
+        // The weight store is slow, so weights are fetched only if every server with a copy on disk
+        // already holds or loads the model.
+        let all_hold = copies.iter().all(|id| self.will_hold(id, &spec.name));
+        let best = if all_hold {
+            self.best_server(plan, plan.backends.keys(), spec, candidates)
         } else {
-            self.best_server(plan, copies.iter(), spec, patience)
+            self.best_server(plan, copies.iter(), spec, candidates)
         };
         if let Some(id) = best {
-            self.load_at(plan, &id, spec, reason);
+            self.load_on(plan, &id, spec, reason);
         }
     }
 
-    // Returns the server among `ids` where a model would be there first.
+    // Returns the server among `ids` on which a model would be ready first.
     fn best_server<'a, I>(
         &self,
         plan: &Plan<'_>,
         ids: I,
         spec: &ModelSpec,
-        patience: Patience,
+        candidates: Candidates,
     ) -> Option<ServerId>
     where
         I: Iterator<Item = &'a ServerId>,
@@ -74,39 +75,42 @@
             let Some(server) = self.servers.get(id) else {
                 continue;
             };
-            if self.keeps(id, &spec.name) || self.intents.contains_key(id) || plan.has_order(id) {
+            if self.will_hold(id, &spec.name)
+                || self.planned_loads.contains_key(id)
+                || plan.has_order(id)
+            {
                 continue;
             }
-            if patience == Patience::FreeOnly && !server.is_free(plan.now) {
+            if candidates == Candidates::IdleOnly && !server.is_free(plan.now) {
                 continue;
             }
-            let Some(room) = self.room_for(plan, id, spec) else {
+            let Some(eviction) = self.plan_eviction(plan, id, spec) else {
                 continue;
             };
-            let busy = self.busy_time(plan.now, server);
-            let duration = busy + room.time + self.load_time(server, spec);
+            let busy = self.time_until_free(plan.now, server);
+            let duration = busy + eviction.time + self.load_time(server, spec);
             let better = best
                 .as_ref()
-                .is_none_or(|(least, cost, _)| (duration, room.cost) < (*least, *cost));
+                .is_none_or(|(least, cost, _)| (duration, eviction.cost) < (*least, *cost));
             if better {
-                best = Some((duration, room.cost, id.clone()));
+                best = Some((duration, eviction.cost, id.clone()));
             }
         }
         best.map(|(_, _, id)| id)
     }
 
     // Time until a server can take an order.
-    fn busy_time(&self, now: Instant, server: &ServerOrders) -> Duration {
+    fn time_until_free(&self, now: Instant, server: &ServerOrders) -> Duration {
         if server.is_free(now) {
             return Duration::ZERO;
         }
         let ends = server.loading().map(|(_, ends)| ends);
         let left = ends.map(|ends| ends.saturating_duration_since(now));
-        left.unwrap_or_default() + ORDER_TIME
+        left.unwrap_or_default() + REPORT_DELAY
     }
 
-    // Loads a model at a server, or makes room for it first.
-    pub(super) fn load_at(
+    // Orders a server to load a model, or to unload another one first if it lacks memory.
+    pub(super) fn load_on(
         &mut self,
         plan: &mut Plan<'_>,
         id: &ServerId,
@@ -116,15 +120,16 @@
         if !self.can_order(plan, id) {
             return;
         }
-        let Some(room) = self.room_for(plan, id, spec) else {
+        let Some(eviction) = self.plan_eviction(plan, id, spec) else {
             return;
         };
-        if let Some(victim) = room.victim {
+        if let Some(victim) = eviction.victim {
             let operation = Operation::UnloadModel(victim);
             self.order(plan, id, operation, UNLOAD_TIME, false, reason);
             let model = spec.name.clone();
-            plan.note_kept(&model);
-            self.intents.insert(id.clone(), Intent { model, reason });
+            plan.add_replica(&model);
+            self.planned_loads
+                .insert(id.clone(), PlannedLoad { model, reason });
             return;
         }
         let Some(server) = self.servers.get(id) else {
@@ -134,13 +139,14 @@
         let fetches = server
             .holdings()
             .is_some_and(|holdings| !holdings.is_cached(&spec.name));
-        // One more replica must not keep the first one of another model waiting.
+        // Additional replicas may use only half of the fetches, so that they don't delay the first
+        // replica of another model.
         let limit = if plan.replicas(&spec.name) > 0 {
             PARALLEL_FETCHES / 2
         } else {
             PARALLEL_FETCHES
         };
-        if fetches && self.fetches() >= limit {
+        if fetches && self.fetch_count() >= limit {
             return;
         }
         let operation = Operation::LoadModel(spec.name.clone());
@@ -157,7 +163,7 @@
         if holdings.on_disk.contains(&spec.name) {
             return spec.disk_load;
         }
-        let behind = (self.fetches() + 1).saturating_sub(PARALLEL_FETCHES);
+        let behind = (self.fetch_count() + 1).saturating_sub(PARALLEL_FETCHES);
         spec.store_load
             + spec
                 .store_load
@@ -172,13 +178,18 @@
                 .is_some_and(|server| server.is_free(plan.now))
     }
 
-    /// Returns what has to go so that a model fits, `None` if nothing can go.
-    pub(super) fn room_for(&self, plan: &Plan<'_>, id: &str, spec: &ModelSpec) -> Option<Room> {
+    /// Returns the eviction that a model needs on a server, `None` if no model can be evicted.
+    pub(super) fn plan_eviction(
+        &self,
+        plan: &Plan<'_>,
+        id: &str,
+        spec: &ModelSpec,
+    ) -> Option<Eviction> {
         let server = self.servers.get(id)?;
         let holdings = server.holdings()?;
         let free = free_memory(plan.engine, holdings);
         if free >= spec.weights {
-            return Some(Room {
+            return Some(Eviction {
                 victim: None,
                 time: Duration::ZERO,
                 cost: 0.0,
@@ -188,18 +199,24 @@
             .models
             .iter()
             .filter(|(model, _)| !self.is_recent(plan, model))
-            .map(|(model, _)| (self.drop_cost(plan, model), self.used.get(model), model));
+            .map(|(model, _)| {
+                (
+                    self.eviction_cost(plan, model),
+                    self.last_used.get(model),
+                    model,
+                )
+            });
         let (cost, _, victim) = victims.min_by(|one, other| {
             one.0
                 .total_cmp(&other.0)
                 .then(one.1.cmp(&other.1))
                 .then(one.2.cmp(other.2))
         })?;
-        let running = (plan.demand.rate(victim) * RUN_TIME.as_secs_f64()).min(1.0);
-        Some(Room {
+        let running = (plan.demand.rate(victim) * REQUEST_TIME.as_secs_f64()).min(1.0);
+        Some(Eviction {
             victim: Some(victim.clone()),
-            // An unload waits for what runs.
-            time: UNLOAD_TIME + RUN_TIME.mul_f64(running),
+            // An unload waits for running requests.
+            time: UNLOAD_TIME + REQUEST_TIME.mul_f64(running),
             cost,
         })
     }
@@ -209,21 +226,21 @@
             .demand
             .get(model)
             .is_some_and(|demand| demand.waiting > 0);
-        let used = self.used.get(model);
-        waited || used.is_some_and(|at| plan.now.saturating_duration_since(*at) < RECENT)
+        let used = self.last_used.get(model);
+        waited || used.is_some_and(|at| plan.now.saturating_duration_since(*at) < EVICTION_GRACE)
     }
 
-    // Requests a second that would miss the model.
-    fn drop_cost(&self, plan: &Plan<'_>, model: &str) -> f64 {
+    // Returns the cost of evicting one replica of a model, in requests per second.
+    fn eviction_cost(&self, plan: &Plan<'_>, model: &str) -> f64 {
         let rate = plan.demand.rate(model);
         let replicas = plan.replicas(model);
-        if replicas > self.wanted_replicas(plan, model) {
+        if replicas > self.target_replicas(plan, model) {
             return 0.0;
         }
         if replicas > 1 {
             return RARE_RATE + rate / replicas as f64;
         }
-        // A model that nobody asked for lately may still be asked for next.
+        // A model without recent requests can still be requested next.
         0.01 + rate
     }
 }
--- a/crates/apricotwell_dispatch/src/placement/plan.rs
+++ b/crates/apricotwell_dispatch/src/placement/plan.rs
@@ -1,4 +1,4 @@
-//! Servers of one service while a plan is made.
+//! State of one planning round for a service.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,16 +11,16 @@
 use crate::catalog::EngineSpec;
 use crate::model::{Holdings, ModelName};
 
-/// Servers of one service with the demand for its models.
+/// Servers of one service, the demand for its models and the orders planned so far.
 pub(super) struct Plan<'a> {
     pub(super) now: Instant,
     pub(super) engine: &'a EngineSpec,
     pub(super) backends: BTreeMap<ServerId, &'a Backend>,
     pub(super) demand: FleetDemand,
     pub(super) orders: Vec<Order>,
-    // Servers that keep or are about to load a model; follows the orders of the plan.
+    // Servers that hold or will load each model, with the planned orders counted in.
     replicas: Map<ModelName, usize>,
-    // Servers with a copy on disk.
+    // Servers with a copy of each model on disk.
     copies: Map<ModelName, Vec<ServerId>>,
 }
 
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Counts one server with the models that it keeps and those on its disk.
-    pub(super) fn note_holder<'m, I>(&mut self, id: &ServerId, kept: I, on_disk: &[ModelName])
+    /// Adds a server with the models that it keeps and those on its disk.
+    pub(super) fn add_server<'m, I>(&mut self, id: &ServerId, kept: I, on_disk: &[ModelName])
     where
         I: Iterator<Item = &'m ModelName>,
     {
         for model in kept {
-            self.note_kept(model);
+            self.add_replica(model);
         }
         for model in on_disk {
             let copies = self.copies.entry(model.clone()).or_default();
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Counts one more server that keeps a model.
-    pub(super) fn note_kept(&mut self, model: &ModelName) {
+    /// Counts one more replica of a model.
+    pub(super) fn add_replica(&mut self, model: &ModelName) {
         *self.replicas.entry(model.clone()).or_default() += 1;
     }
 
-    /// Counts one server less.
-    pub(super) fn note_dropped(&mut self, model: &ModelName) {
+    /// Counts one replica less of a model.
+    pub(super) fn remove_replica(&mut self, model: &ModelName) {
         if let Some(count) = self.replicas.get_mut(model) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Returns the servers that keep or are about to load a model.
+    /// Returns the number of servers that hold or will load a model.
     pub(super) fn replicas(&self, model: &str) -> usize {
         self.replicas.get(model).copied().unwrap_or_default()
     }
@@ -84,7 +84,7 @@
         self.copies.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns whether some server can serve a model without the weight store.
+    /// Returns whether some server holds a model or can load it without the weight store.
     pub(super) fn has_copy(&self, model: &str) -> bool {
         self.replicas(model) > 0 || !self.copies(model).is_empty()
     }
@@ -95,14 +95,14 @@
     }
 }
 
-/// Returns the memory that neither models nor adapters take, in MB.
+/// Returns the memory in MB that neither models nor adapters occupy.
 pub(super) fn free_memory(engine: &EngineSpec, holdings: &Holdings) -> f64 {
     let largest = || {
         let weights = engine.models.values().map(|spec| spec.weights);
         weights.fold(0.0, f64::max)
     };
     let taken = holdings.models.iter().map(|(name, adapters)| {
-        // A model that the configuration no longer names is counted as the largest.
+        // A model that is no longer configured is counted as the largest one.
         let spec = engine.model(name);
         let weights = spec.map_or_else(largest, |spec| spec.weights);
         let adapter = spec.map_or(0.0, |spec| spec.adapter_weights);
--- a/crates/apricotwell_dispatch/src/prompt_cache.rs
+++ b/crates/apricotwell_dispatch/src/prompt_cache.rs
@@ -1,4 +1,4 @@
-//! Which servers have read which parts of prompts.
+//! Assumed contents of the servers' prompt caches.
 
 use std::collections::VecDeque;
 
@@ -7,63 +7,65 @@
 use crate::call::PromptPart;
 use crate::model::RequestedModel;
 
-/// Parts remembered for one server.
+/// Number of prompt parts tracked per server.
 const PARTS_PER_SERVER: usize = 512;
 
-/// Parts of prompts that servers have likely cached; a wrong entry costs speed only.
+/// Prompt parts that servers have likely cached; a wrong entry only makes a request slower.
 #[derive(Debug, Default)]
 pub struct PromptCacheTable {
-    servers: Map<ServerId, ServerPrompts>,
+    servers: Map<ServerId, CachedParts>,
 }
 
 #[derive(Debug, Default)]
-struct ServerPrompts {
+struct CachedParts {
     parts: Map<(RequestedModel, u64), ()>,
-    ages: VecDeque<(RequestedModel, u64)>,
+    insertion_order: VecDeque<(RequestedModel, u64)>,
 }
 
 impl PromptCacheTable {
-    /// Notes that a server reads a prompt.
+    /// Records that a prompt was sent to a server.
     pub fn record_sent(
         &mut self,
         server: &ServerId,
-        wanted: &RequestedModel,
+        requested: &RequestedModel,
         prompt: &[PromptPart],
     ) {
-        let known = self.servers.entry(server.clone()).or_default();
+        let entry = self.servers.entry(server.clone()).or_default();
         for part in prompt {
-            let key = (wanted.clone(), part.id);
-            if known.parts.insert(key.clone(), ()).is_none() {
-                known.ages.push_back(key);
+            let key = (requested.clone(), part.id);
+            if entry.parts.insert(key.clone(), ()).is_none() {
+                entry.insertion_order.push_back(key);
             }
-            if known.ages.len() > PARTS_PER_SERVER
-                && let Some(oldest) = known.ages.pop_front()
+            if entry.insertion_order.len() > PARTS_PER_SERVER
+                && let Some(oldest) = entry.insertion_order.pop_front()
             {
-                known.parts.remove(&oldest);
+                entry.parts.remove(&oldest);
             }
         }
     }
 
-    /// Returns the tokens of a prompt that a server has to read.
+    /// Returns the number of tokens of a prompt that a server has to process.
+    ///
+    /// The leading parts that the server has likely cached are not counted.
     pub fn uncached_tokens(
         &self,
         server: &str,
-        wanted: &RequestedModel,
+        requested: &RequestedModel,
         prompt: &[PromptPart],
     ) -> f64 {
         let total: u64 = prompt.iter().map(|part| part.tokens).sum();
-        let Some(known) = self.servers.get(server) else {
+        let Some(entry) = self.servers.get(server) else {
             return total as f64;
         };
         let cached: u64 = prompt
             .iter()
-            .take_while(|part| known.parts.contains_key(&(wanted.clone(), part.id)))
+            .take_while(|part| entry.parts.contains_key(&(requested.clone(), part.id)))
             .map(|part| part.tokens)
             .sum();
         (total - cached) as f64
     }
 
-    /// Forgets a server that left.
+    /// Removes a server that is no longer listed.
     pub fn remove_server(&mut self, server: &str) {
         self.servers.remove(server);
     }
--- a/crates/apricotwell_dispatch/src/quota/window.rs
+++ b/crates/apricotwell_dispatch/src/quota/window.rs
@@ -1,166 +1,178 @@
-//! What one organisation spent in the last window.
+//! Sliding window of one organisation's spending.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use apricotwell_types::{InstanceId, Map, Tokens};
 
-/// Share of the other instances that are taken to admit a request like the one at hand before they hear
-/// of it.
-const SAME_TIME_SHARE: f64 = 0.25;
-/// Multiple of its rate at which an organisation is taken to ask at most.
-const FLOOD: f64 = 8.0;
-/// Time that news of spending takes at least.
-const LEAST_LAG: Duration = Duration::from_millis(300);
-/// Share of the time in which the instance grants what a refused caller asked for, by which the next one
-/// is to come back later: not all come back, and those who do are also served elsewhere.
-const TURN_SHARE: f64 = 0.3;
-/// Windows for which a caller is asked to stay away at most.
-const MAX_TURN_WINDOWS: u32 = 2;
-/// Spans into which the window is cut; the oldest one counts until all of it is outside.
-pub(super) const SPANS: u32 = 16;
+/// Share of the other instances that are assumed to admit a similar request before they receive a
+/// report of the current one.
+const CONCURRENT_SHARE: f64 = 0.25;
+/// Highest assumed request rate of an organisation, as a multiple of its limit.
+const MAX_RATE_FACTOR: f64 = 8.0;
+/// Minimum delay until other instances receive a report of spending.
+const MIN_REPORT_LAG: Duration = Duration::from_millis(300);
+/// Interval between the retries of two refused clients, as a share of the time that the instance needs
+/// to grant the request. Below 1, as not all clients retry and other instances serve some that do.
+const RETRY_SPACING: f64 = 0.3;
+/// Longest delay until a retry, in windows.
+const MAX_RETRY_WINDOWS: u32 = 2;
+/// Number of buckets per window; the oldest bucket counts until all of it has left the window.
+pub(super) const BUCKETS: u32 = 16;
 
-/// What an organisation spent in the last window, and how much it may.
+/// Spending of an organisation in the last window and its limit.
 #[derive(Debug)]
 pub(super) struct Window {
     // Tokens allowed in one window; unlimited before the configuration is known.
     pub(super) limit: f64,
-    // Tokens by span, the current one last; may be negative after a refund. Never empty.
-    pub(super) spans: VecDeque<f64>,
-    // Begin of the current span.
-    pub(super) begun: Instant,
+    // Tokens per bucket, the current one last; may be negative after a refund. Never empty.
+    pub(super) buckets: VecDeque<f64>,
+    // Start of the current bucket.
+    pub(super) bucket_start: Instant,
     // Tokens that this instance has spent since its start.
     pub(super) spent: Tokens,
-    // Those of them that the others have not been told, and since when.
-    pub(super) untold: Tokens,
-    pub(super) told_at: Instant,
-    // When the next caller that is refused should come back, at the earliest.
-    pub(super) turn: Instant,
-    // Spending told by other instances: start number and sum since then.
-    pub(super) told: Map<InstanceId, (u64, Tokens)>,
+    // Those of them that are not yet reported to the other instances, and the last report's time.
+    pub(super) unreported: Tokens,
+    pub(super) reported_at: Instant,
+    // Earliest time at which the next refused client should retry.
+    pub(super) next_retry: Instant,
+    // Spending reported by other instances: start number and tokens since that start.
+    pub(super) peer_spending: Map<InstanceId, (u64, Tokens)>,
 }
 
 impl Window {
-    /// Returns the window of a fleet that has spent `part` of its limit, evenly.
-    pub(super) fn new(now: Instant, limit: f64, part: f64) -> Self {
-        let span = limit * part / f64::from(SPANS);
-        let mut spans: VecDeque<f64> = (0..SPANS).map(|_| span).collect();
-        spans.push_back(0.0);
+    /// Returns the window of a fleet that has spent `share` of its limit, evenly over the window.
+    pub(super) fn new(now: Instant, limit: f64, share: f64) -> Self {
+        let per_bucket = limit * share / f64::from(BUCKETS);
+        let mut buckets: VecDeque<f64> = (0..BUCKETS).map(|_| per_bucket).collect();
+        buckets.push_back(0.0);
         Self {
             limit,
-            spans,
-            begun: now,
+            buckets,
+            bucket_start: now,
             spent: 0,
-            untold: 0,
-            told_at: now,
-            turn: now,
-            told: Map::default(),
+            unreported: 0,
+            reported_at: now,
+            next_retry: now,
+            peer_spending: Map::default(),
         }
     }
 
-    pub(super) fn advance(&mut self, now: Instant, span: Duration) {
-        while now.saturating_duration_since(self.begun) >= span {
-            self.begun += span;
-            self.spans.push_back(0.0);
-            if self.spans.len() > SPANS as usize + 1 {
-                self.spans.pop_front();
+    pub(super) fn advance(&mut self, now: Instant, bucket_len: Duration) {
+        while now.saturating_duration_since(self.bucket_start) >= bucket_len {
+            self.bucket_start += bucket_len;
+            self.buckets.push_back(0.0);
+            if self.buckets.len() > BUCKETS as usize + 1 {
+                self.buckets.pop_front();
             }
         }
     }
 
-    // A lower limit takes hold of what is spent from now on: what was spent under the old one is
-    // scaled with it.
+    // Sets the limit; earlier spending is scaled down with a lower limit, so that the limit applies to
+    // spending from now on.
     pub(super) fn set_limit(&mut self, limit: f64) {
         if limit < self.limit && self.limit < f64::MAX {
             let scale = limit / self.limit;
-            self.spans.iter_mut().for_each(|span| *span *= scale);
+            self.buckets.iter_mut().for_each(|bucket| *bucket *= scale);
         }
         self.limit = limit;
     }
 
-    pub(super) fn level(&self, part: f64) -> f64 {
-        self.limit * part - self.sum()
+    pub(super) fn level(&self, share: f64) -> f64 {
+        self.limit * share - self.sum()
     }
 
     pub(super) fn sum(&self) -> f64 {
-        self.spans.iter().sum()
+        self.buckets.iter().sum()
     }
 
     pub(super) fn add(&mut self, tokens: f64) {
-        if let Some(current) = self.spans.back_mut() {
+        if let Some(current) = self.buckets.back_mut() {
             *current += tokens;
         }
     }
 
-    // Tokens a second that the fleet spent of late.
-    pub(super) fn recent_rate(&self, now: Instant, span: Duration) -> f64 {
-        let passed = now.saturating_duration_since(self.begun);
-        let recent: f64 = self.spans.iter().rev().take(2).sum();
-        recent / (span + passed).as_secs_f64()
+    // Returns the fleet's recent spending in tokens per second.
+    pub(super) fn recent_rate(&self, now: Instant, bucket_len: Duration) -> f64 {
+        let passed = now.saturating_duration_since(self.bucket_start);
+        let recent: f64 = self.buckets.iter().rev().take(2).sum();
+        recent / (bucket_len + passed).as_secs_f64()
     }
 
-    // Tokens that the other instances are taken to have spent and not yet told: each as many as this one,
-    // with a share of the request at hand, and all of them no less than at the rate of late.
-    pub(super) fn untold_by_others(
+    // Estimates the tokens that the other instances have spent but not yet reported: each is assumed to
+    // have spent as much as this one, with a share of the current request, and all of them together no
+    // less than the recent rate yields.
+    pub(super) fn unreported_by_peers(
         &self,
         now: Instant,
-        span: Duration,
+        bucket_len: Duration,
         cost: f64,
-        heard: f64,
+        reporting: f64,
     ) -> f64 {
-        let rate = self.recent_rate(now, span);
-        // The others told theirs between now and as long ago as this instance.
-        let age = now.saturating_duration_since(self.told_at).min(span) / 2;
-        let others = (heard - 1.0) / heard;
-        let own = self.untold as f64 + cost * SAME_TIME_SHARE;
-        let flood = self.limit / (span * SPANS).as_secs_f64() * FLOOD;
-        let most = flood * age.max(LEAST_LAG).as_secs_f64();
-        (own * (heard - 1.0))
+        let rate = self.recent_rate(now, bucket_len);
+        // The last reports of the others are at most as old as that of this instance, on average half.
+        let age = now
+            .saturating_duration_since(self.reported_at)
+            .min(bucket_len)
+            / 2;
+        let others = (reporting - 1.0) / reporting;
+        let own = self.unreported as f64 + cost * CONCURRENT_SHARE;
+        let max_rate = self.limit / (bucket_len * BUCKETS).as_secs_f64() * MAX_RATE_FACTOR;
+        let most = max_rate * age.max(MIN_REPORT_LAG).as_secs_f64();
+        (own * (reporting - 1.0))
             .min(most)
             .max(rate * age.as_secs_f64() * others)
     }
 
-    // Time after which a caller should come back for `cost` tokens: when so many have left the window,
-    // and behind those who were refused before. The first one's turn is at the instance's own phase,
-    // so that the callers of all instances come back one after the other.
-    pub(super) fn take_turn(
+    // Returns the delay after which a refused client should retry: when the missing tokens have left
+    // the window, and after the clients that were refused before. The first retry is offset by the
+    // instance's phase, so that the clients of all instances retry one after the other.
+    pub(super) fn schedule_retry(
         &mut self,
         now: Instant,
-        span: Duration,
+        bucket_len: Duration,
         missing: f64,
-        turn: Turn,
+        request: RefusedRequest,
     ) -> Duration {
-        let free = now + self.time_to_free(now, span, missing);
-        let latest = now + span * SPANS * MAX_TURN_WINDOWS;
-        let time = Duration::from_secs_f64(turn.cost * TURN_SHARE / turn.rate.max(1.0));
-        let at = self.turn.max(free + time.mul_f64(turn.phase)).min(latest);
-        self.turn = at + time;
+        let free = now + self.time_to_free(now, bucket_len, missing);
+        let latest = now + bucket_len * BUCKETS * MAX_RETRY_WINDOWS;
+        let time = Duration::from_secs_f64(request.cost * RETRY_SPACING / request.rate.max(1.0));
+        let at = self
+            .next_retry
+            .max(free + time.mul_f64(request.phase))
+            .min(latest);
+        self.next_retry = at + time;
         at.saturating_duration_since(now)
     }
 
-    // Time until so many tokens have left the window.
-    pub(super) fn time_to_free(&self, now: Instant, span: Duration, missing: f64) -> Duration {
-        let passed = now.saturating_duration_since(self.begun);
+    // Returns the time until `missing` tokens have left the window.
+    pub(super) fn time_to_free(
+        &self,
+        now: Instant,
+        bucket_len: Duration,
+        missing: f64,
+    ) -> Duration {
+        let passed = now.saturating_duration_since(self.bucket_start);
         let mut freed = 0.0;
-        let mut time = span.saturating_sub(passed);
-        for spent in &self.spans {
+        let mut time = bucket_len.saturating_sub(passed);
+        for spent in &self.buckets {
             freed += spent;
             if freed >= missing {
                 break;
             }
-            time += span;
+            time += bucket_len;
         }
         time
     }
 }
 
-/// What a refused caller asks for.
+/// Request that exceeds the limit.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Turn {
-    // Tokens.
+pub(super) struct RefusedRequest {
+    // Tokens that the request needs.
     pub(super) cost: f64,
-    // Tokens a second that the instance can grant.
+    // Tokens per second that the instance can grant.
     pub(super) rate: f64,
-    // Share of the first turn that passes before it.
+    // Offset of the first retry, as a share of the retry interval.
     pub(super) phase: f64,
 }
--- a/crates/apricotwell_dispatch/src/retries.rs
+++ b/crates/apricotwell_dispatch/src/retries.rs
@@ -1,26 +1,27 @@
-//! Budget of second attempts that the whole fleet shares without a message.
+//! Retry budget that the whole fleet shares without exchanging messages.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Bounds on second attempts over the whole fleet.
+/// Bounds on retries over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBounds {
-    /// Second attempts allowed per request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Window over which both are counted.
+    /// Window in which requests and retries are counted.
     pub window: Duration,
-    /// Second attempts allowed besides, over the whole fleet.
+    /// Additional retries allowed for the whole fleet.
     pub slack: f64,
 }
 
-/// Share of the bounds that is used: the rest covers instances that count others as gone.
+/// Share of the bounds that is used; the rest covers instances that count live ones as failed and so
+/// take too large a share of the slack.
 const USED_SHARE: f64 = 0.8;
 
-/// One instance's part of the budget of one service.
+/// One instance's share of the retry budget of one service.
 ///
-/// Each instance keeps to the ratio of the requests that it took itself and to an even part of the
-/// slack, so the sum over all instances stays within the bounds whatever messages are lost.
+/// Each instance limits its retries by the ratio to its own requests and by an equal share of the
+/// slack, so the total over all instances stays within the bounds even if messages are lost.
 #[derive(Debug)]
 pub struct RetryBudget {
     bounds: RetryBounds,
@@ -29,7 +30,7 @@
 }
 
 impl RetryBudget {
-    /// Returns an empty window.
+    /// Returns a budget without requests or retries.
     pub fn new(bounds: RetryBounds) -> Self {
         Self {
             bounds,
@@ -38,13 +39,13 @@
         }
     }
 
-    /// Notes a request from a caller.
+    /// Counts a request from a client.
     pub fn record_request(&mut self, now: Instant) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// Takes one second attempt, if the part of an instance among `instances` has one left.
+    /// Takes one retry if this instance's share among `instances` allows it; returns whether it does.
     pub fn try_take(&mut self, now: Instant, instances: usize) -> bool {
         self.expire(now);
         let slack = self.bounds.slack / instances.max(1) as f64;
--- a/crates/apricotwell_dispatch/tests/engines/engines.rs
+++ b/crates/apricotwell_dispatch/tests/engines/engines.rs
@@ -1,5 +1,7 @@
-//! Model engines in virtual time: loads from store, disk and memory, one order at a time, reports
-//! that lag, lost and late orders.
+//! Simulated model engines in virtual time.
+//!
+//! They load from store, disk and memory, execute one order at a time and report with a lag; orders
+//! can be late and their replies lost.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -21,9 +23,9 @@
 const ADAPTER_LOAD: Duration = Duration::from_millis(20);
 const ADAPTER_SLOTS: usize = 8;
 const WEIGHTS: f64 = 72_000.0;
-/// Time by which a late order is carried out.
-const LATE: Duration = Duration::from_secs(4);
-/// Models whose weights fit into a server's memory besides those it runs.
+/// Longest delay of a late order.
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(4);
+/// Models whose weights fit into a server's main memory besides those that it runs.
 const MEMORY_COPIES: usize = 2;
 
 /// Size of a deployment.
@@ -32,7 +34,7 @@
     pub(crate) servers: usize,
     pub(crate) models: usize,
     pub(crate) busy: usize,
-    pub(crate) places: usize,
+    pub(crate) model_slots: usize,
     pub(crate) copies: usize,
 }
 
@@ -42,9 +44,9 @@
     models: Vec<(String, Vec<String>)>,
     disk: Vec<String>,
     memory: Vec<String>,
-    under_way: Option<(Operation, Instant, bool)>,
+    running: Option<(Operation, Instant, bool)>,
     late: Vec<(Instant, Order)>,
-    // What a report tells: states with the time since which they held.
+    // Past states with their times, for reports that lag.
     history: Vec<(Instant, StatusReport)>,
 }
 
@@ -60,9 +62,9 @@
     lost: f64,
     random: u64,
     pub(crate) orders: Vec<Operation>,
-    pub(crate) overloaded: usize,
+    pub(crate) overcommits: usize,
     pub(crate) fetched: Vec<String>,
-    pub(crate) most_fetches: usize,
+    pub(crate) max_fetches: usize,
 }
 
 impl Engines {
@@ -85,20 +87,21 @@
             lost: 0.0,
             random: seed | 1,
             orders: Vec::new(),
-            overloaded: 0,
+            overcommits: 0,
             fetched: Vec::new(),
-            most_fetches: 0,
+            max_fetches: 0,
         };
-        engines.place(&names);
+        engines.place_models(&names);
         engines
     }
 
-    // Busy models on a third of the servers, each rare one on one; copies spread at random.
-    fn place(&mut self, names: &[String]) {
+    // Places each busy model on an equal share of the servers and each rare one on a single server;
+    // spreads further copies on disk at random.
+    fn place_models(&mut self, names: &[String]) {
         let mut rare = names[self.setup.busy..].iter();
         for index in 0..self.setup.servers {
             let mut held = vec![names[index % self.setup.busy.max(1)].clone()];
-            held.extend(rare.by_ref().take(self.setup.places - 1).cloned());
+            held.extend(rare.by_ref().take(self.setup.model_slots - 1).cloned());
             let mut disk = held.clone();
             while disk.len() < self.setup.copies {
                 let other = names[self.draw(names.len())].clone();
@@ -112,7 +115,7 @@
                 memory: held.iter().take(MEMORY_COPIES).cloned().collect(),
                 models: held.into_iter().map(|name| (name, Vec::new())).collect(),
                 disk,
-                under_way: None,
+                running: None,
                 late: Vec::new(),
                 history: Vec::new(),
             };
@@ -153,19 +156,19 @@
         engine.orders = 0;
         engine.models.clear();
         engine.memory.clear();
-        engine.under_way = None;
+        engine.running = None;
         engine.late.clear();
         engine.history.clear();
     }
 
-    /// Puts a server with an empty disk into the place of another one.
+    /// Replaces a server by one with an empty disk.
     pub(crate) fn replace(&mut self, server: &str) {
         self.restart(server);
         let engine = self.engines.get_mut(server).unwrap();
         engine.disk.clear();
     }
 
-    /// Returns a model that no other server has a copy of.
+    /// Returns a model that only this server has a copy of.
     pub(crate) fn sole_copy(&self, server: &str) -> String {
         let elsewhere = |name: &String| {
             let mut others = self.engines.iter().filter(|(id, _)| *id != server);
@@ -175,7 +178,7 @@
         own.find(|name| !elsewhere(name)).unwrap().clone()
     }
 
-    /// Lets every server with a copy of a model load something else right now.
+    /// Makes every server with a copy of a model start to load another one.
     pub(crate) fn occupy_copies(&mut self, model: &str) {
         let with_copy = |engine: &&Engine| engine.disk.iter().any(|name| name == model);
         let count = self.engines.values().filter(with_copy).count();
@@ -186,11 +189,11 @@
                 continue;
             }
             let other = self.unheld_copy(&id, model);
-            let begun = self.now;
+            let start = self.now;
             let key = (other.clone(), String::new());
             self.waiting.insert(key.clone(), 1);
-            while self.engines[&id].under_way.is_none()
-                && self.now < begun + Duration::from_millis(300)
+            while self.engines[&id].running.is_none()
+                && self.now < start + Duration::from_millis(300)
             {
                 self.tick();
             }
@@ -199,9 +202,9 @@
         }
     }
 
-    fn unheld_copy(&self, id: &str, not: &str) -> String {
+    fn unheld_copy(&self, id: &str, except: &str) -> String {
         let disk = self.engines[id].disk.iter();
-        let mut others = disk.filter(|name| *name != not && self.holders(name) == 0);
+        let mut others = disk.filter(|name| *name != except && self.holders(name) == 0);
         others.next().cloned().unwrap_or_default()
     }
 
@@ -221,18 +224,18 @@
     }
 
     fn wait(&mut self, model: &str, adapter: &str) -> Duration {
-        let begun = self.now;
+        let start = self.now;
         let key = (model.to_owned(), adapter.to_owned());
         self.waiting.insert(key.clone(), 1);
-        while !self.can_send(model, adapter) && self.now < begun + Duration::from_secs(60) {
+        while !self.can_send(model, adapter) && self.now < start + Duration::from_secs(60) {
             self.tick();
         }
         self.waiting.remove(&key);
-        self.now - begun
+        self.now - start
     }
 
-    /// Plays requests for rare models, evenly drawn; returns how long each waited for its model.
-    pub(crate) fn play_rare(&mut self, time: Duration, rate: f64) -> Vec<Duration> {
+    /// Simulates requests for rare models, drawn uniformly; returns how long each waited for its model.
+    pub(crate) fn simulate_rare(&mut self, time: Duration, rate: f64) -> Vec<Duration> {
         let end = self.now + time;
         let rare = self.setup.models - self.setup.busy;
         let (mut open, mut waits, mut due) = (Vec::new(), Vec::new(), 0.0);
@@ -251,10 +254,10 @@
             }
             self.tick();
             let now = self.now;
-            open.retain(|(model, begun)| {
+            open.retain(|(model, start)| {
                 let served = self.can_send(model, "");
                 if served {
-                    waits.push(now - *begun);
+                    waits.push(now - *start);
                     self.waiting.remove(&(model.clone(), String::new()));
                 }
                 !served
@@ -267,11 +270,11 @@
         self.planner.servers().any(|(id, server)| {
             let holdings = server.servable(self.now).unwrap_or_default();
             let adapters = holdings.adapters(model);
-            let told = adapters.is_some_and(|adapters| {
+            let servable = adapters.is_some_and(|adapters| {
                 adapter.is_empty() || adapters.iter().any(|name| **name == *adapter)
             });
             let held = self.engines[&**id].models.iter();
-            told && held.into_iter().any(|(name, _)| name == model)
+            servable && held.into_iter().any(|(name, _)| name == model)
         })
     }
 
@@ -295,16 +298,16 @@
             .plan(self.now, &self.service, &self.table, &uses);
         for order in orders {
             self.orders.push(order.operation.clone());
-            let reply = self.give(&order);
+            let reply = self.send_order(&order);
             self.planner.apply_reply(self.now, &order.server, reply);
         }
-        let fetching = |engine: &&Engine| matches!(engine.under_way, Some((_, _, true)));
+        let fetching = |engine: &&Engine| matches!(engine.running, Some((_, _, true)));
         let fetches = self.engines.values().filter(fetching).count();
-        self.most_fetches = self.most_fetches.max(fetches);
+        self.max_fetches = self.max_fetches.max(fetches);
     }
 
-    /// Returns what the lease holder tells next.
-    pub(crate) fn news(&self, news: &mut StockNews) -> Vec<ServerStock> {
+    /// Returns the servers in the lease holder's next broadcast.
+    pub(crate) fn next_broadcast(&self, news: &mut StockNews) -> Vec<ServerStock> {
         news.take(self.now, &self.planner, &self.table)
     }
 
@@ -355,11 +358,11 @@
     fn advance(&mut self, id: &str) {
         let now = self.now;
         let engine = self.engines.get_mut(id).unwrap();
-        if let Some((operation, ends, _)) = engine.under_way.clone()
+        if let Some((operation, ends, _)) = engine.running.clone()
             && ends <= now
         {
-            engine.under_way = None;
-            engine.finish(&operation);
+            engine.running = None;
+            engine.apply(&operation);
         }
         let due: Vec<Order> = engine
             .late
@@ -369,41 +372,41 @@
             .collect();
         engine.late.retain(|(at, _)| *at > now);
         for order in due {
-            self.carry_out(&order);
+            self.execute(&order);
         }
         let engine = self.engines.get_mut(id).unwrap();
         let report = StatusReport {
-            busy: engine.under_way.is_some(),
+            busy: engine.running.is_some(),
             holdings: engine.holdings(engine.orders),
             incoming: Vec::new(),
         };
         engine.history.push((now, report));
     }
 
-    fn give(&mut self, order: &Order) -> OrderReply {
+    fn send_order(&mut self, order: &Order) -> OrderReply {
         let lost = self.lost > 0.0 && (self.draw(1000) as f64) < self.lost * 1000.0;
         if !lost {
-            return self.carry_out(order);
+            return self.execute(order);
         }
-        let late = self.now + LATE.mul_f64(self.draw(100) as f64 / 100.0);
+        let late = self.now + MAX_ORDER_DELAY.mul_f64(self.draw(100) as f64 / 100.0);
         let engine = self.engines.get_mut(&*order.server).unwrap();
         engine.late.push((late, order.clone()));
         OrderReply::Unknown
     }
 
-    fn carry_out(&mut self, order: &Order) -> OrderReply {
+    fn execute(&mut self, order: &Order) -> OrderReply {
         let now = self.now;
-        let places = self.setup.places;
+        let model_slots = self.setup.model_slots;
         let engine = self.engines.get_mut(&*order.server).unwrap();
-        if engine.under_way.is_some() || engine.orders != order.expected {
+        if engine.running.is_some() || engine.orders != order.expected {
             return OrderReply::Conflict;
         }
         engine.orders += 1;
         let (duration, fetches) = engine.duration(&order.operation);
         match &order.operation {
-            Operation::LoadModel(_) if engine.models.len() >= places => self.overloaded += 1,
+            Operation::LoadModel(_) if engine.models.len() >= model_slots => self.overcommits += 1,
             Operation::LoadAdapter(..) if engine.adapters() >= ADAPTER_SLOTS => {
-                self.overloaded += 1;
+                self.overcommits += 1;
             }
             _ => {}
         }
@@ -412,15 +415,15 @@
         }
         match &order.operation {
             Operation::UnloadAdapter(..) => {
-                engine.finish(&order.operation);
+                engine.apply(&order.operation);
                 OrderReply::Holds
             }
             Operation::LoadAdapter(..) => {
-                engine.finish(&order.operation);
+                engine.apply(&order.operation);
                 OrderReply::Accepted
             }
             _ => {
-                engine.under_way = Some((order.operation.clone(), now + duration, fetches));
+                engine.running = Some((order.operation.clone(), now + duration, fetches));
                 OrderReply::Accepted
             }
         }
@@ -443,7 +446,7 @@
         }
     }
 
-    fn finish(&mut self, operation: &Operation) {
+    fn apply(&mut self, operation: &Operation) {
         let model = operation.model().to_string();
         match operation {
             Operation::LoadModel(_) => {
@@ -506,7 +509,7 @@
         max_connections: 370,
         engine: Some(EngineSpec {
             slots: 64,
-            weights: WEIGHTS * setup.places as f64 + 2_000.0,
+            weights: WEIGHTS * setup.model_slots as f64 + 2_000.0,
             adapter_slots: ADAPTER_SLOTS,
             loads_per_second: 2.1,
             kv_tokens: 130_000,
--- a/crates/apricotwell_dispatch/tests/orders.rs
+++ b/crates/apricotwell_dispatch/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to one server: lost, late and refused ones, and what counts as held meanwhile.
+//! Orders to one server: lost, late and rejected orders, and the state that is assumed meanwhile.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 const BORN: u64 = 7;
 const LOAD: Duration = Duration::from_secs(2);
-/// Time by which any follow-up of an order has become due.
+/// Time after which every follow-up of an order is due.
 const LATER: Duration = Duration::from_secs(3);
 
 fn holdings(orders: u64, models: &[(&str, &[&str])]) -> Holdings {
@@ -32,7 +32,7 @@
     })
 }
 
-fn known(now: Instant, holdings: Holdings) -> ServerOrders {
+fn reported_server(now: Instant, holdings: Holdings) -> ServerOrders {
     let mut server = ServerOrders::new(now, BORN);
     assert!(server.take_due_report(now));
     server.apply_report(now, report(false, holdings));
@@ -47,16 +47,19 @@
     assert!(!server.is_free(now));
     assert!(server.take_due_report(now));
     server.apply_report(now, None);
-    assert!(!server.is_free(now), "a report that failed tells nothing");
+    assert!(
+        !server.is_free(now),
+        "a failed report says nothing about the server"
+    );
     server.take_due_report(now + LATER);
     server.apply_report(now + LATER, report(true, holdings(1, &[])));
-    assert!(!server.is_free(now + LATER), "an order is under way");
+    assert!(!server.is_free(now + LATER), "an order is in progress");
 }
 
 #[test]
-fn an_adapter_keeps_its_place_until_a_report_lacks_it() {
+fn an_unloaded_adapter_keeps_its_slot_until_a_report_omits_it() {
     let now = Instant::now();
-    let mut server = known(now, holdings(4, &[("m", &["a1", "a2"])]));
+    let mut server = reported_server(now, holdings(4, &[("m", &["a1", "a2"])]));
     let unload = Operation::UnloadAdapter("m".into(), "a1".into());
     server.record_sent(now, unload, false);
     server.apply_reply(now, OrderReply::Accepted, Duration::ZERO);
@@ -71,9 +74,9 @@
 }
 
 #[test]
-fn adapters_on_their_way_take_places() {
+fn adapters_being_loaded_occupy_slots() {
     let now = Instant::now();
-    let mut server = known(now, holdings(4, &[("m", &["a1"])]));
+    let mut server = reported_server(now, holdings(4, &[("m", &["a1"])]));
     server.check_listed(now + LATER, &holdings(0, &[]));
     assert!(server.take_due_report(now + LATER));
     let report = StatusReport {
@@ -86,9 +89,9 @@
 }
 
 #[test]
-fn an_unused_adapter_is_gone_with_the_answer() {
+fn an_unused_adapter_is_unloaded_with_the_reply() {
     let now = Instant::now();
-    let mut server = known(now, holdings(4, &[("m", &["a1"])]));
+    let mut server = reported_server(now, holdings(4, &[("m", &["a1"])]));
     server.record_sent(
         now,
         Operation::UnloadAdapter("m".into(), "a1".into()),
@@ -103,22 +106,22 @@
 #[test]
 fn a_report_older_than_the_order_does_not_end_it() {
     let now = Instant::now();
-    let mut server = known(now, holdings(0, &[]));
+    let mut server = reported_server(now, holdings(0, &[]));
     server.check_listed(now + LATER, &holdings(0, &[("other", &[])]));
-    let asked = now + LATER;
-    assert!(server.take_due_report(asked));
-    let sent = asked + Duration::from_millis(5);
+    let requested = now + LATER;
+    assert!(server.take_due_report(requested));
+    let sent = requested + Duration::from_millis(5);
     server.record_sent(sent, Operation::LoadModel("m".into()), false);
-    let answered = asked + Duration::from_millis(9);
-    server.apply_report(answered, report(false, holdings(0, &[])));
-    assert!(!server.is_free(answered));
+    let received = requested + Duration::from_millis(9);
+    server.apply_report(received, report(false, holdings(0, &[])));
+    assert!(!server.is_free(received));
     assert_eq!(server.operation(), Some(&Operation::LoadModel("m".into())));
 }
 
 #[test]
 fn a_report_with_an_old_count_does_not_end_an_accepted_load() {
     let now = Instant::now();
-    let mut server = known(now, holdings(3, &[]));
+    let mut server = reported_server(now, holdings(3, &[]));
     server.record_sent(now, Operation::LoadModel("m".into()), false);
     server.apply_reply(now, OrderReply::Accepted, LOAD);
     assert_eq!(server.expected_orders(), 4);
@@ -132,10 +135,10 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_settled_by_a_report() {
+fn an_unanswered_order_is_resolved_by_a_report() {
     for (orders, models, loaded) in [(3, &[][..], false), (4, &[("m", &[][..])][..], true)] {
         let now = Instant::now();
-        let mut server = known(now, holdings(3, &[]));
+        let mut server = reported_server(now, holdings(3, &[]));
         server.record_sent(now, Operation::LoadModel("m".into()), false);
         server.apply_reply(now, OrderReply::Unknown, LOAD);
         assert!(!server.is_free(now), "it may be accepted");
@@ -148,9 +151,9 @@
 }
 
 #[test]
-fn requests_go_out_when_a_load_should_have_ended() {
+fn requests_are_sent_when_a_load_should_have_ended() {
     let now = Instant::now();
-    let mut server = known(now, holdings(0, &[]));
+    let mut server = reported_server(now, holdings(0, &[]));
     server.record_sent(now, Operation::LoadModel("m".into()), false);
     assert!(server.servable(now + LOAD).unwrap().adapters("m").is_none());
     server.apply_reply(now, OrderReply::Accepted, LOAD);
@@ -161,9 +164,9 @@
 }
 
 #[test]
-fn an_order_that_meets_an_unload_is_tried_again_soon() {
+fn an_order_rejected_during_an_unload_is_retried_soon() {
     let now = Instant::now();
-    let mut server = known(now, holdings(0, &[("old", &[])]));
+    let mut server = reported_server(now, holdings(0, &[("old", &[])]));
     server.record_sent(now, Operation::UnloadModel("old".into()), false);
     server.apply_reply(now, OrderReply::Accepted, Duration::ZERO);
     assert!(!server.is_free(now), "the unload takes a moment");
@@ -178,9 +181,9 @@
 }
 
 #[test]
-fn a_conflict_without_an_unload_asks_the_server() {
+fn a_conflict_without_an_unload_requests_a_report() {
     let now = Instant::now();
-    let mut server = known(now, holdings(0, &[]));
+    let mut server = reported_server(now, holdings(0, &[]));
     server.record_sent(now, Operation::LoadModel("m".into()), false);
     server.apply_reply(now, OrderReply::Conflict, LOAD);
     assert!(!server.is_free(now + LATER));
--- a/crates/apricotwell_dispatch/tests/placing.rs
+++ b/crates/apricotwell_dispatch/tests/placing.rs
@@ -1,5 +1,5 @@
-//! Plays loads against the placement planner, with servers that load as the users' engines do, and
-//! checks what callers get.
+//! Runs the placement planner against simulated engines, which load like those of the users, and
+//! checks how long requests wait.
 
 #[path = "engines/engines.rs"]
 mod engines;
@@ -11,26 +11,26 @@
 use apricotwell_messages::ServerStock;
 use engines::{Engines, Setup};
 
-/// Aim of requests for rare models: from arrival until the model can be sent to.
-const RARE_AIM: Duration = Duration::from_millis(3800);
-/// Time of one fetch from the weight store, with what it takes to see that a server is empty.
-const FETCH_AIM: Duration = Duration::from_millis(8700 + 1500);
+/// Target for requests for rare models, from arrival until a server holds the model.
+const RARE_TARGET: Duration = Duration::from_millis(3800);
+/// Time of one fetch from the weight store, plus the time to detect that a server was emptied.
+const FETCH_TARGET: Duration = Duration::from_millis(8700 + 1500);
 
-/// Servers that are told of in turn, and those with a change at hand.
-const MOST_TOLD: usize = 12;
+/// Most servers in one broadcast: those refreshed in turn, and those with a recent change.
+const MAX_BROADCAST: usize = 12;
 
 fn small() -> Setup {
     Setup {
         servers: 9,
         models: 50,
         busy: 2,
-        places: 3,
+        model_slots: 3,
         copies: 19,
     }
 }
 
 #[test]
-fn a_rare_model_comes_from_a_disk_within_its_aim() {
+fn a_rare_model_is_loaded_from_disk_within_its_target() {
     let mut engines = Engines::new(small(), 3);
     engines.run(Duration::from_secs(3));
     let model = engines.unheld_model();
@@ -43,11 +43,11 @@
     for seed in 1..=10 {
         let mut engines = Engines::new(small(), seed);
         engines.run(Duration::from_secs(3));
-        // As many a second as the users' summaries, for any of the rare models.
-        let waits = engines.play_rare(Duration::from_secs(40), 1.1);
-        let late = waits.iter().filter(|wait| **wait > RARE_AIM).count();
+        // The rate of the users' summary requests, spread over all rare models.
+        let waits = engines.simulate_rare(Duration::from_secs(40), 1.1);
+        let late = waits.iter().filter(|wait| **wait > RARE_TARGET).count();
         assert!(late * 10 <= waits.len(), "{late} of {} late", waits.len());
-        assert_eq!(engines.overloaded, 0, "more ordered than fits");
+        assert_eq!(engines.overcommits, 0, "orders exceed a server's capacity");
     }
 }
 
@@ -57,7 +57,7 @@
     engines.run(Duration::from_secs(3));
     let busy = engines.unheld_model();
     engines.set_rate(&busy, 12.0);
-    engines.play_rare(Duration::from_secs(12), 1.5);
+    engines.simulate_rare(Duration::from_secs(12), 1.5);
     let replicas = engines.holders(&busy);
     assert!(replicas >= 3, "{replicas} replicas at 12 requests a second");
 }
@@ -73,8 +73,8 @@
     let fetches = engines.fetched.len();
     assert!(fetches >= 4, "{fetches} fetches ahead");
     assert!(
-        engines.most_fetches <= 4,
-        "more at once than run at full speed"
+        engines.max_fetches <= 4,
+        "more concurrent fetches than the store serves at full speed"
     );
 }
 
@@ -83,31 +83,31 @@
     for seed in 1..=20 {
         let mut engines = Engines::new(small(), seed);
         engines.lose_answers(0.3);
-        engines.play_rare(Duration::from_secs(40), 1.5);
-        assert_eq!(engines.overloaded, 0, "seed {seed}");
+        engines.simulate_rare(Duration::from_secs(40), 1.5);
+        assert_eq!(engines.overcommits, 0, "seed {seed}");
     }
 }
 
 #[test]
-fn adapters_make_room_for_each_other_within_their_places() {
+fn adapters_evict_each_other_within_their_slots() {
     let mut engines = Engines::new(small(), 4);
     engines.run(Duration::from_secs(3));
     for number in 1..=48 {
         let waited = engines.wait_for_adapter("busy-0", &format!("a{number}"));
         assert!(waited < Duration::from_millis(700), "a{number}: {waited:?}");
     }
-    assert_eq!(engines.overloaded, 0);
+    assert_eq!(engines.overcommits, 0);
     let unloads = |operation: &Operation| matches!(operation, Operation::UnloadAdapter(..));
     assert!(engines.orders.iter().any(unloads));
 }
 
 #[test]
-fn a_restarted_server_is_asked_before_it_is_ordered() {
+fn a_restarted_server_reports_before_it_receives_orders() {
     let mut engines = Engines::new(small(), 6);
     engines.run(Duration::from_secs(3));
     engines.restart("server-0");
-    engines.play_rare(Duration::from_secs(20), 1.0);
-    assert_eq!(engines.overloaded, 0);
+    engines.simulate_rare(Duration::from_secs(20), 1.0);
+    assert_eq!(engines.overcommits, 0);
 }
 
 #[test]
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn replicas_leave_room_at_the_store_for_a_model_that_nobody_has() {
+fn replicas_leave_fetches_for_a_model_without_a_copy() {
     for seed in 1..=5 {
         let setup = Setup {
             copies: 3,
@@ -133,14 +133,17 @@
         };
         let mut engines = Engines::new(setup, seed);
         engines.run(Duration::from_secs(2));
-        // A busy model is fetched to more and more servers.
+        // More and more servers fetch a busy model.
         engines.set_rate("busy-0", 60.0);
         engines.run(Duration::from_secs(2));
-        // Then the only server with a copy of another one is replaced by an empty one.
+        // Then the only server with a copy of another model is replaced by an empty one.
         let model = engines.sole_copy("server-8");
         engines.replace("server-8");
         let waited = engines.wait_for(&model);
-        assert!(waited < FETCH_AIM, "{model} after {waited:?}, seed {seed}");
+        assert!(
+            waited < FETCH_TARGET,
+            "{model} after {waited:?}, seed {seed}"
+        );
     }
 }
 
@@ -149,34 +152,38 @@
         servers: 140,
         models: 778,
         busy: 2,
-        places: 3,
+        model_slots: 3,
         copies: 18,
     }
 }
 
 #[test]
-fn a_new_holder_of_the_lease_does_not_tell_what_the_list_says() {
+fn a_new_lease_holder_does_not_broadcast_what_the_list_says() {
     let mut engines = Engines::new(large(), 1);
     engines.run(Duration::from_secs(3));
     let mut news = StockNews::default();
     for _ in 0..5 {
-        let told = engines.news(&mut news);
-        assert!(told.len() <= MOST_TOLD, "{} servers at once", told.len());
+        let sent = engines.next_broadcast(&mut news);
+        assert!(
+            sent.len() <= MAX_BROADCAST,
+            "{} servers at once",
+            sent.len()
+        );
     }
 }
 
 #[test]
-fn a_load_is_told_at_once_and_more_than_once() {
+fn a_load_is_broadcast_at_once_and_repeatedly() {
     let mut engines = Engines::new(large(), 1);
     engines.run(Duration::from_secs(3));
     let mut news = StockNews::default();
     let model = engines.unheld_model();
     engines.wait_for(&model);
-    let mut told = 0;
+    let mut sent = 0;
     for _ in 0..3 {
-        let servers = engines.news(&mut news);
+        let servers = engines.next_broadcast(&mut news);
         let holds = |server: &ServerStock| server.models.iter().any(|held| held.model == model);
-        told += usize::from(servers.iter().any(holds));
+        sent += usize::from(servers.iter().any(holds));
     }
-    assert_eq!(told, 3);
+    assert_eq!(sent, 3);
 }
--- a/crates/apricotwell_dispatch/tests/quota.rs
+++ b/crates/apricotwell_dispatch/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Rates over the fleet, with several instances that hear each other late or not at all.
+//! Rate limits over several instances whose heartbeats are late or missing.
 
 use std::time::{Duration, Instant};
 
@@ -14,8 +14,8 @@
 };
 const INSTANCES: usize = 9;
 const STEP: Duration = Duration::from_millis(20);
-/// Steps until an instance that starts has heard the others.
-const FIRST_HEARD_STEP: u64 = 10;
+/// Step at which a starting instance receives the first heartbeats.
+const FIRST_HEARTBEAT_STEP: u64 = 10;
 /// Steps between two heartbeats.
 const HEARTBEAT_STEPS: u64 = 20;
 
@@ -34,9 +34,9 @@
     organisation: Organisation,
     tables: Vec<QuotaTable>,
     spent: Vec<(Duration, Tokens)>,
-    // Time that was played before.
-    skip: Duration,
-    // Instance that has not heard the others yet.
+    // Time that was simulated before.
+    offset: Duration,
+    // Instance that has not received any heartbeats yet.
     starting: Option<usize>,
 }
 
@@ -47,7 +47,7 @@
 
     fn with_instances(instances: usize, organisation: Organisation) -> Self {
         let table = |index: usize| {
-            // Hashes of ids, as even as chance.
+            // Spread at random, like hashes of ids.
             let phase = (index as f64 * 0.618).fract();
             let mut table = QuotaTable::new(BOUNDS, true).with_phase(phase);
             table.set_share(instances, instances);
@@ -58,12 +58,12 @@
             organisation,
             tables: (0..instances).map(table).collect(),
             spent: Vec::new(),
-            skip: Duration::ZERO,
+            offset: Duration::ZERO,
             starting: None,
         }
     }
 
-    fn ask(&mut self, at: Duration, instance: usize, tokens: Tokens) -> bool {
+    fn request(&mut self, at: Duration, instance: usize, tokens: Tokens) -> bool {
         let now = self.start + at;
         let allowed = self.tables[instance]
             .spend(now, &self.organisation, tokens)
@@ -74,16 +74,16 @@
         allowed
     }
 
-    fn is_tight(&mut self, at: Duration, instance: usize) -> bool {
+    fn is_near_limit(&mut self, at: Duration, instance: usize) -> bool {
         self.tables[instance].is_near_limit(self.start + at, &self.organisation)
     }
 
-    fn tell(&mut self, at: Duration, from: usize) {
-        let told: Vec<(Tokens, Tokens)> = self.tables[from]
+    fn send_heartbeat(&mut self, at: Duration, from: usize) {
+        let spending: Vec<(Tokens, Tokens)> = self.tables[from]
             .spending()
             .map(|(_, spent, fleet)| (spent, fleet))
             .collect();
-        let (spent, fleet) = told.first().copied().unwrap_or_default();
+        let (spent, fleet) = spending.first().copied().unwrap_or_default();
         let name: InstanceId = format!("instance-{from}").into();
         let now = self.start + at;
         self.tables[from].mark_reported(now);
@@ -92,7 +92,7 @@
         }
     }
 
-    fn most_in_a_window(&self) -> Tokens {
+    fn max_in_window(&self) -> Tokens {
         let in_window = |from: Duration| {
             let until = from + BOUNDS.window;
             let spent = self.spent.iter();
@@ -115,15 +115,15 @@
     }
 }
 
-/// Plays `seconds` of demand at `load` times the rate; returns the share that was admitted.
-fn play(fleet: &mut Fleet, seconds: u64, load: f64, seed: u64) -> f64 {
+/// Simulates `seconds` of demand at `load` times the rate; returns the admitted share.
+fn simulate(fleet: &mut Fleet, seconds: u64, load: f64, seed: u64) -> f64 {
     let steps = seconds * 1000 / STEP.as_millis() as u64;
     let cost = 1600.0;
     let per_step = fleet.organisation.rate as f64 * load * STEP.as_secs_f64() / cost;
-    let (mut asked, mut admitted, mut due) = (0, 0, 0.0);
+    let (mut requested, mut admitted, mut due) = (0, 0, 0.0);
     let mut random = seed | 1;
     for step in 0..steps {
-        let at = fleet.skip + STEP * step as u32;
+        let at = fleet.offset + STEP * step as u32;
         due += per_step;
         while due >= 1.0 {
             due -= 1.0;
@@ -132,33 +132,33 @@
                 .wrapping_add(1);
             let instance = (random >> 33) as usize % INSTANCES;
             let tokens = 200 + (random >> 40) % 2800;
-            asked += 1;
-            admitted += u64::from(fleet.ask(at, instance, tokens));
-            if fleet.is_tight(at, instance) {
-                fleet.tell(at, instance);
+            requested += 1;
+            admitted += u64::from(fleet.request(at, instance, tokens));
+            if fleet.is_near_limit(at, instance) {
+                fleet.send_heartbeat(at, instance);
             }
         }
-        if step == FIRST_HEARD_STEP
+        if step == FIRST_HEARTBEAT_STEP
             && let Some(started) = fleet.starting.take()
         {
-            (0..INSTANCES).for_each(|from| fleet.tell(at, from));
+            (0..INSTANCES).for_each(|from| fleet.send_heartbeat(at, from));
             fleet.tables[started].set_share(INSTANCES, INSTANCES);
         }
         if step % HEARTBEAT_STEPS == 0 && fleet.starting.is_none() {
-            (0..INSTANCES).for_each(|from| fleet.tell(at, from));
+            (0..INSTANCES).for_each(|from| fleet.send_heartbeat(at, from));
         }
     }
-    admitted as f64 / asked.max(1) as f64
+    admitted as f64 / requested.max(1) as f64
 }
 
-/// Instances of a large fleet, and their heartbeats.
-const MANY: usize = 80;
-const MANY_HEARTBEAT_STEPS: u64 = 48;
-const MANY_LEAST_STEPS: u64 = 16;
+/// Instances of a large fleet, and the steps between their heartbeats.
+const LARGE_FLEET: usize = 80;
+const LARGE_HEARTBEAT_STEPS: u64 = 48;
+const LARGE_MIN_STEPS: u64 = 16;
 
-/// Plays a flood in a large fleet, whose callers come back once when they are told to; returns the
-/// share of requests that was admitted in the end.
-fn play_returning(fleet: &mut Fleet, seconds: u64, load: f64, seed: u64) -> f64 {
+/// Simulates a flood at a large fleet whose clients retry once, after the delay that they are given;
+/// returns the share of requests that was finally admitted.
+fn simulate_retries(fleet: &mut Fleet, seconds: u64, load: f64, seed: u64) -> f64 {
     let (begin, end) = (50, 550);
     let per_step = fleet.organisation.rate as f64 * STEP.as_secs_f64() / 1600.0;
     let mut random = seed | 1;
@@ -168,9 +168,9 @@
             .wrapping_add(1);
         (random >> 33) % limit
     };
-    let mut back: Vec<(Duration, Tokens)> = Vec::new();
-    let mut told = vec![0; MANY];
-    let (mut due, mut asked, mut admitted) = (0.0, 0, 0);
+    let mut retries: Vec<(Duration, Tokens)> = Vec::new();
+    let mut sent_at = vec![0; LARGE_FLEET];
+    let (mut due, mut requested, mut admitted) = (0.0, 0, 0);
     for step in 0..seconds * 50 {
         let at = STEP * step as u32;
         let floods = (begin..end).contains(&step);
@@ -178,10 +178,10 @@
         let mut requests: Vec<(Tokens, bool)> = Vec::new();
         while due >= 1.0 {
             due -= 1.0;
-            asked += 1;
+            requested += 1;
             requests.push((200 + draw(2800), true));
         }
-        back.retain(|(when, tokens)| {
+        retries.retain(|(when, tokens)| {
             let returns = *when <= at;
             if returns {
                 requests.push((*tokens, false));
@@ -189,7 +189,7 @@
             !returns
         });
         for (tokens, is_first) in requests {
-            let instance = draw(MANY as u64) as usize;
+            let instance = draw(LARGE_FLEET as u64) as usize;
             let now = fleet.start + at;
             let organisation = fleet.organisation.clone();
             match fleet.tables[instance].spend(now, &organisation, tokens) {
@@ -197,24 +197,24 @@
                     admitted += 1;
                     fleet.spent.push((at, tokens));
                 }
-                Err(shortage) if is_first => back.push((at + shortage.retry_after, tokens)),
+                Err(exceeded) if is_first => retries.push((at + exceeded.retry_after, tokens)),
                 Err(_) => {}
             }
         }
-        for (instance, told) in told.iter_mut().enumerate() {
-            let since = step - *told;
-            let tight = since >= MANY_LEAST_STEPS && fleet.is_tight(at, instance);
-            if tight || since >= MANY_HEARTBEAT_STEPS {
-                fleet.tell(at, instance);
-                *told = step;
+        for (instance, last_sent) in sent_at.iter_mut().enumerate() {
+            let since = step - *last_sent;
+            let near_limit = since >= LARGE_MIN_STEPS && fleet.is_near_limit(at, instance);
+            if near_limit || since >= LARGE_HEARTBEAT_STEPS {
+                fleet.send_heartbeat(at, instance);
+                *last_sent = step;
             }
         }
     }
-    admitted as f64 / asked as f64
+    admitted as f64 / requested as f64
 }
 
 #[test]
-fn callers_who_come_back_to_a_large_fleet_don_t_exceed_the_rate() {
+fn clients_that_retry_at_a_large_fleet_do_not_exceed_the_rate() {
     for rate in [2_700, 12_000, 40_000, 97_246] {
         for (load, seed) in [
             (2.0, 5),
@@ -225,21 +225,21 @@
             (6.0, 6),
             (8.0, 16),
         ] {
-            let mut fleet = Fleet::with_instances(MANY, organisation(rate, rate));
-            let share = play_returning(&mut fleet, 24, load, seed);
-            let (most, allowed) = (fleet.most_in_a_window() as f64, fleet.allowed());
+            let mut fleet = Fleet::with_instances(LARGE_FLEET, organisation(rate, rate));
+            let share = simulate_retries(&mut fleet, 24, load, seed);
+            let (most, allowed) = (fleet.max_in_window() as f64, fleet.allowed());
             assert!(most <= allowed, "{most} of {allowed} at {load} of {rate}");
-            // What the rate allows is served.
+            // The requests within the rate are served.
             assert!(share > 1.4 / load, "{share} at {load} of {rate}");
         }
     }
 }
 
 #[test]
-fn a_large_fleet_refuses_hardly_anything_within_the_rate() {
+fn a_large_fleet_refuses_few_requests_within_the_rate() {
     for rate in [2_700, 12_000, 40_000, 97_246] {
-        let mut fleet = Fleet::with_instances(MANY, organisation(rate, rate));
-        let share = play_returning(&mut fleet, 24, 0.75, 5);
+        let mut fleet = Fleet::with_instances(LARGE_FLEET, organisation(rate, rate));
+        let share = simulate_retries(&mut fleet, 24, 0.75, 5);
         assert!(share > 0.995, "{share} of {rate}");
     }
 }
@@ -248,7 +248,7 @@
 fn nothing_is_refused_within_the_rate() {
     for rate in [2_600, 8_669, 28_246] {
         let mut fleet = Fleet::new(organisation(rate, rate));
-        let share = play(&mut fleet, 20, 0.6, 11);
+        let share = simulate(&mut fleet, 20, 0.6, 11);
         assert!(share == 1.0, "{share} of the requests at rate {rate}");
     }
 }
@@ -258,29 +258,29 @@
     for (rate, load) in [(2_600, 8.0), (8_669, 7.5), (28_246, 5.0)] {
         for seed in 1..=10 {
             let mut fleet = Fleet::new(organisation(rate, rate));
-            play(&mut fleet, 24, load, seed);
-            let most = fleet.most_in_a_window() as f64;
+            simulate(&mut fleet, 24, load, seed);
+            let most = fleet.max_in_window() as f64;
             assert!(most <= fleet.allowed(), "{most} of {}", fleet.allowed());
         }
     }
 }
 
 #[test]
-fn instances_that_hear_nobody_use_their_part_only() {
+fn isolated_instances_use_only_their_share() {
     let mut fleet = Fleet::new(organisation(10_000, 10_000));
     for table in &mut fleet.tables {
         table.set_share(1, INSTANCES);
     }
     for step in 0..1000 {
         for instance in 0..INSTANCES {
-            fleet.ask(STEP * step, instance, 500);
+            fleet.request(STEP * step, instance, 500);
         }
     }
-    assert!(fleet.most_in_a_window() as f64 <= fleet.allowed());
+    assert!(fleet.max_in_window() as f64 <= fleet.allowed());
 }
 
 #[test]
-fn a_lower_limit_lets_some_through_at_once() {
+fn a_lower_limit_admits_some_requests_at_once() {
     let start = Instant::now();
     let mut table = QuotaTable::new(BOUNDS, true);
     let high = organisation(20_000, 20_000);
@@ -294,17 +294,17 @@
 fn a_fleet_that_restarts_at_once_does_not_spend_its_limit_twice() {
     for seed in 1..=10 {
         let mut fleet = Fleet::new(organisation(20_000, 20_000));
-        play(&mut fleet, 12, 7.0, seed);
+        simulate(&mut fleet, 12, 7.0, seed);
         let killed = Duration::from_secs(12);
-        let kept = fleet.tables[0].snapshot(fleet.start + killed);
-        let back = killed + Duration::from_millis(700);
+        let saved = fleet.tables[0].snapshot(fleet.start + killed);
+        let restart = killed + Duration::from_millis(700);
         for table in &mut fleet.tables {
             *table = QuotaTable::new(BOUNDS, false);
-            table.restore(fleet.start + back, &kept);
+            table.restore(fleet.start + restart, &saved);
         }
-        fleet.skip = back;
-        play(&mut fleet, 8, 7.0, seed);
-        let most = fleet.most_in_a_window() as f64;
+        fleet.offset = restart;
+        simulate(&mut fleet, 8, 7.0, seed);
+        let most = fleet.max_in_window() as f64;
         assert!(most <= fleet.allowed(), "{most} of {}", fleet.allowed());
     }
 }
@@ -312,39 +312,39 @@
 #[test]
 fn an_instance_that_starts_among_others_refuses_nothing_within_the_rate() {
     let mut fleet = Fleet::new(organisation(10_000, 10_000));
-    assert_eq!(play(&mut fleet, 10, 0.6, 3), 1.0);
+    assert_eq!(simulate(&mut fleet, 10, 0.6, 3), 1.0);
     let at = Duration::from_secs(10);
-    let kept = fleet.tables[0].snapshot(fleet.start + at);
+    let saved = fleet.tables[0].snapshot(fleet.start + at);
     fleet.tables[4] = QuotaTable::new(BOUNDS, false);
-    fleet.tables[4].restore(fleet.start + at, &kept);
-    fleet.skip = at;
-    assert_eq!(play(&mut fleet, 10, 0.6, 4), 1.0);
+    fleet.tables[4].restore(fleet.start + at, &saved);
+    fleet.offset = at;
+    assert_eq!(simulate(&mut fleet, 10, 0.6, 4), 1.0);
 }
 
 #[test]
 fn an_instance_that_starts_in_a_flood_learns_what_the_others_spent() {
     for seed in 1..=10 {
         let mut fleet = Fleet::new(organisation(12_000, 12_000));
-        play(&mut fleet, 4, 0.6, seed);
-        // What the store kept is from before the flood.
-        let kept = fleet.tables[0].snapshot(fleet.start + Duration::from_secs(4));
-        fleet.skip = Duration::from_secs(4);
-        play(&mut fleet, 3, 7.5, seed);
+        simulate(&mut fleet, 4, 0.6, seed);
+        // The snapshot in the store predates the flood.
+        let saved = fleet.tables[0].snapshot(fleet.start + Duration::from_secs(4));
+        fleet.offset = Duration::from_secs(4);
+        simulate(&mut fleet, 3, 7.5, seed);
         let at = Duration::from_secs(7);
         fleet.tables[4] = QuotaTable::new(BOUNDS, false);
-        fleet.tables[4].restore(fleet.start + at, &kept);
-        // Until it hears the others it uses its part only.
+        fleet.tables[4].restore(fleet.start + at, &saved);
+        // Without heartbeats of the others it uses only its share.
         fleet.tables[4].set_share(1, INSTANCES);
         fleet.starting = Some(4);
-        fleet.skip = at;
-        play(&mut fleet, 8, 7.5, seed + 1);
-        let most = fleet.most_in_a_window() as f64;
+        fleet.offset = at;
+        simulate(&mut fleet, 8, 7.5, seed + 1);
+        let most = fleet.max_in_window() as f64;
         assert!(most <= fleet.allowed(), "{most} of {}", fleet.allowed());
     }
 }
 
 #[test]
-fn an_instance_that_has_heard_nobody_yet_serves_its_part_of_what_is_left() {
+fn an_instance_without_heartbeats_serves_its_share_of_the_rest() {
     let now = Instant::now();
     let organisation = organisation(10_000, 10_000);
     let mut before = QuotaTable::new(BOUNDS, true);
@@ -367,22 +367,22 @@
 }
 
 #[test]
-fn a_restarted_instance_takes_the_window_as_spent() {
+fn a_restarted_instance_counts_the_window_as_spent() {
     let now = Instant::now();
     let organisation = organisation(10_000, 10_000);
     let mut table = QuotaTable::new(BOUNDS, false);
-    let shortage = table.spend(now, &organisation, 30_000).unwrap_err();
-    assert!(shortage.retry_after > Duration::ZERO && shortage.retry_after < BOUNDS.window);
-    let later = now + shortage.retry_after + BOUNDS.window / 16;
+    let exceeded = table.spend(now, &organisation, 30_000).unwrap_err();
+    assert!(exceeded.retry_after > Duration::ZERO && exceeded.retry_after < BOUNDS.window);
+    let later = now + exceeded.retry_after + BOUNDS.window / 16;
     assert!(table.spend(later, &organisation, 30_000).is_ok());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Late, repeated and reordered heartbeats of one instance never make tokens.
+    /// Late, repeated and reordered heartbeats of one instance never add tokens.
     #[test]
-    fn heartbeats_never_make_tokens(order in proptest::collection::vec(0usize..6, 1..24)) {
+    fn heartbeats_never_add_tokens(order in proptest::collection::vec(0usize..6, 1..24)) {
         let now = Instant::now();
         let organisation = organisation(1_000, 1_000);
         let sums = [0, 500, 900, 900, 2_500, 4_000];
@@ -403,17 +403,17 @@
 }
 
 #[test]
-fn an_instance_that_has_yet_to_hear_others_asks_callers_to_come_back_soon() {
+fn an_instance_without_heartbeats_asks_clients_to_retry_soon() {
     let now = Instant::now();
     let organisation = organisation(8_669, 8_669);
     let mut table = QuotaTable::new(BOUNDS, true).with_phase(0.9);
-    table.set_share(1, MANY);
+    table.set_share(1, LARGE_FLEET);
     for number in 0..50 {
         let at = now + Duration::from_millis(number * 20);
-        let shortage = table.spend(at, &organisation, 5000).unwrap_err();
+        let exceeded = table.spend(at, &organisation, 5000).unwrap_err();
         assert!(
-            shortage.retry_after < Duration::from_millis(1500),
-            "{shortage:?}"
+            exceeded.retry_after < Duration::from_millis(1500),
+            "{exceeded:?}"
         );
     }
 }
--- a/crates/apricotwell_dispatch/tests/retries.rs
+++ b/crates/apricotwell_dispatch/tests/retries.rs
@@ -1,4 +1,4 @@
-//! The budget of second attempts, kept without a message between instances.
+//! Retry budget that instances share without exchanging messages.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 const INSTANCES: usize = 9;
 
 #[test]
-fn a_storm_over_all_instances_stays_within_the_bounds() {
+fn a_retry_storm_over_all_instances_stays_within_the_bounds() {
     let now = Instant::now();
     let mut windows: Vec<RetryBudget> = (0..INSTANCES).map(|_| RetryBudget::new(BOUNDS)).collect();
     let (mut requests, mut retries) = (0, 0);
