--- a/crates/apricotwell_dispatch/src/backends.rs
+++ b/crates/apricotwell_dispatch/src/backends.rs
@@ -22,7 +22,7 @@
 
 /// Entry of the platform's list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct BackendEntry {
     /// Server.
     pub id: ServerId,
     /// Service.
@@ -34,11 +34,11 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it takes no new work.
-    pub leaving: bool,
+    pub draining: bool,
     /// Time until it is gone, if it was given notice.
     pub remaining: Option<Duration>,
     /// Start of its process, in milliseconds since the epoch.
-    pub born: u64,
+    pub started_ms: u64,
     /// What it holds.
     pub holdings: Holdings,
 }
@@ -49,20 +49,20 @@
     /// Model.
     pub model: ModelName,
     /// When it should end.
-    pub ends: Instant,
+    pub ends_at: Instant,
 }
 
 /// Server with what this instance knows of it.
 #[derive(Clone, Debug)]
 pub struct Backend {
     /// Newest entry.
-    pub entry: Entry,
+    pub entry: BackendEntry,
     /// What it holds, from the newer of the entry and the lease holder's word.
     pub holdings: Holdings,
     /// Load under way.
     pub loading: Option<Loading>,
     /// Requests of this instance in flight.
-    pub own: u32,
+    pub own_requests: u32,
     others: Map<InstanceId, u32>,
     // Tokens that this instance sent here lately, fading with `RECENT`.
     recent: f64,
@@ -79,12 +79,12 @@
 }
 
 impl Backend {
-    fn new(now: Instant, entry: Entry) -> Self {
+    fn new(now: Instant, entry: BackendEntry) -> Self {
         Self {
             holdings: entry.holdings.clone(),
             entry,
             loading: None,
-            own: 0,
+            own_requests: 0,
             others: Map::default(),
             recent: 0.0,
             recent_at: now,
@@ -99,12 +99,12 @@
 
     /// Returns whether new work may be sent.
     pub fn is_usable(&self, now: Instant) -> bool {
-        !self.entry.leaving && self.ends.is_none_or(|ends| now < ends)
+        !self.entry.draining && self.ends.is_none_or(|ends| now < ends)
     }
 
     /// Returns the requests in flight from all instances.
     pub fn in_flight(&self) -> u32 {
-        self.own + self.others.values().sum::<u32>()
+        self.own_requests + self.others.values().sum::<u32>()
     }
 
     /// Returns the tokens of prompts that this instance sent lately, fading with time.
@@ -156,20 +156,20 @@
     }
 
     /// Applies an entry of the list.
-    pub fn note_entry(&mut self, now: Instant, entry: Entry) {
+    pub fn apply_entry(&mut self, now: Instant, entry: BackendEntry) {
         let Some(server) = self.servers.get_mut(&entry.id) else {
             self.servers
                 .insert(entry.id.clone(), Backend::new(now, entry));
             return;
         };
-        if entry.born < server.entry.born {
+        if entry.started_ms < server.entry.started_ms {
             return;
         }
-        let restarted = entry.born > server.entry.born;
+        let restarted = entry.started_ms > server.entry.started_ms;
         if restarted {
-            let own = server.own;
+            let own = server.own_requests;
             *server = Backend::new(now, entry);
-            server.own = own;
+            server.own_requests = own;
             return;
         }
         server.ends = None;
@@ -187,14 +187,14 @@
     }
 
     /// Returns whether an entry says something new.
-    pub fn is_news(&self, entry: &Entry) -> bool {
+    pub fn is_changed(&self, entry: &BackendEntry) -> bool {
         self.servers
             .get(&entry.id)
             .is_none_or(|server| server.ends.is_some() || server.entry != *entry)
     }
 
     /// Notes that a server left the list; `keep` bounds how long it is still used.
-    pub fn note_removed(&mut self, now: Instant, id: &str, keep: Option<Duration>) {
+    pub fn mark_removed(&mut self, now: Instant, id: &str, keep: Option<Duration>) {
         if let Some(server) = self.servers.get_mut(id) {
             server.ends = Some(now + keep.unwrap_or_default());
         }
@@ -202,8 +202,9 @@
 
     /// Forgets servers that left and have nothing in flight.
     pub fn expire(&mut self, now: Instant) {
-        self.servers
-            .retain(|_, server| server.own > 0 || server.ends.is_none_or(|ends| now < ends));
+        self.servers.retain(|_, server| {
+            server.own_requests > 0 || server.ends.is_none_or(|ends| now < ends)
+        });
         let is_old = |told: Instant| now.saturating_duration_since(told) >= STOCK_LIFETIME;
         for server in self.servers.values_mut() {
             // Without the lease holder's word the list's counts.
@@ -216,17 +217,17 @@
     }
 
     /// Returns the ids of all servers in the list.
-    pub fn listed(&self) -> Vec<ServerId> {
+    pub fn listed_ids(&self) -> Vec<ServerId> {
         let listed = self.servers.values().filter(|server| server.ends.is_none());
         listed.map(|server| server.entry.id.clone()).collect()
     }
 
     /// Applies the lease holder's word on what a server holds.
-    pub fn note_stock(&mut self, now: Instant, fence: Fence, stock: &ServerStock) {
+    pub fn apply_inventory(&mut self, now: Instant, fence: Fence, stock: &ServerStock) {
         let Some(server) = self.servers.get_mut(stock.server.as_str()) else {
             return;
         };
-        if stock.born != server.entry.born || fence < server.fence {
+        if stock.born != server.entry.started_ms || fence < server.fence {
             return;
         }
         server.fence = fence;
@@ -242,12 +243,12 @@
             .collect();
         server.loading = (!stock.loading.is_empty()).then(|| Loading {
             model: stock.loading.as_str().into(),
-            ends: now + Duration::from_millis(u64::from(stock.remaining)),
+            ends_at: now + Duration::from_millis(u64::from(stock.remaining)),
         });
     }
 
     /// Applies what another instance has in flight.
-    pub fn note_use(&mut self, instance: &InstanceId, requests: &Map<&str, u32>) {
+    pub fn set_peer_requests(&mut self, instance: &InstanceId, requests: &Map<&str, u32>) {
         for (id, server) in &mut self.servers {
             match requests.get(&**id) {
                 Some(count) => server.others.insert(instance.clone(), *count),
@@ -257,30 +258,30 @@
     }
 
     /// Forgets what an instance that is gone had in flight.
-    pub fn forget_instance(&mut self, instance: &str) {
+    pub fn remove_instance(&mut self, instance: &str) {
         for server in self.servers.values_mut() {
             server.others.remove(instance);
         }
     }
 
     /// Notes a request given to a server, with the tokens of its prompt that have to be read.
-    pub fn note_start(&mut self, now: Instant, id: &str, tokens: f64) {
+    pub fn begin_request(&mut self, now: Instant, id: &str, tokens: f64) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.own += 1;
+            server.own_requests += 1;
             server.recent = server.recent_tokens(now) + tokens;
             server.recent_at = now;
         }
     }
 
     /// Notes the end of a request on a server.
-    pub fn note_end(&mut self, id: &str) {
+    pub fn end_request(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.own = server.own.saturating_sub(1);
+            server.own_requests = server.own_requests.saturating_sub(1);
         }
     }
 
     /// Notes whether a server answered as it should.
-    pub fn note_outcome(&mut self, now: Instant, id: &str, failed: bool) {
+    pub fn record_outcome(&mut self, now: Instant, id: &str, failed: bool) {
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
@@ -291,7 +292,7 @@
     }
 
     /// Notes that a server denied to hold what was wanted.
-    pub fn note_denied(&mut self, now: Instant, id: &str, wanted: &Wanted) {
+    pub fn record_rejection(&mut self, now: Instant, id: &str, wanted: &Wanted) {
         if let Some(server) = self.servers.get_mut(id) {
             server.denied = Some((wanted.clone(), now));
         }
--- a/crates/apricotwell_dispatch/src/catalog.rs
+++ b/crates/apricotwell_dispatch/src/catalog.rs
@@ -60,7 +60,7 @@
     /// Backend servers to which one request may be sent.
     pub max_attempts: u32,
     /// Whether requests need no key.
-    pub open: bool,
+    pub anonymous: bool,
 }
 
 /// Least time after which callers abandon a silent stream.
@@ -85,7 +85,7 @@
     }
 
     /// Returns how long a caller waits for the next event, or for the whole of a plain answer.
-    pub fn patience(&self) -> Duration {
+    pub fn silence_timeout(&self) -> Duration {
         if !self.kind.is_stream() {
             return self.timeout;
         }
@@ -102,7 +102,7 @@
     /// Name.
     pub name: ModelName,
     /// Memory of its weights, in MB.
-    pub weights: f64,
+    pub weights_mb: f64,
     /// Load from the weight store.
     pub store_load: Duration,
     /// Load from the server's own disk.
@@ -110,7 +110,7 @@
     /// Load from the server's own memory.
     pub memory_load: Duration,
     /// Memory of one of its adapters, in MB.
-    pub adapter_weights: f64,
+    pub adapter_mb: f64,
     /// Adapters, named `a1` and so on.
     pub adapters: u32,
 }
@@ -121,7 +121,7 @@
     /// Requests that run at once.
     pub slots: u32,
     /// Memory for weights and adapters, in MB.
-    pub weights: f64,
+    pub memory_mb: f64,
     /// Adapters held at once.
     pub adapter_slots: usize,
     /// Loads from the weight store a second, over all servers.
@@ -162,12 +162,12 @@
     /// Tokens at once.
     pub burst: Tokens,
     /// Tokens of a request that names none.
-    pub plain_tokens: Tokens,
+    pub default_tokens: Tokens,
 }
 
 /// Bounds on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerLimits {
+pub struct ClientLimits {
     /// Bytes of a head.
     pub header_bytes: usize,
     /// Bytes of a body.
@@ -176,7 +176,7 @@
     pub idle_timeout: Duration,
 }
 
-impl Default for CallerLimits {
+impl Default for ClientLimits {
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -192,7 +192,7 @@
     /// Version; a higher one replaces a lower one.
     pub version: u64,
     /// Bounds on what callers may send.
-    pub limits: CallerLimits,
+    pub limits: ClientLimits,
     routes: Map<String, Map<String, Arc<Route>>>,
     services: Map<ServiceId, Service>,
     organisations: Map<OrgId, Arc<Organisation>>,
@@ -202,7 +202,7 @@
 
 impl Catalog {
     /// Returns an empty catalog of a version.
-    pub fn new(version: u64, limits: CallerLimits) -> Self {
+    pub fn new(version: u64, limits: ClientLimits) -> Self {
         Self {
             version,
             limits,
--- a/crates/apricotwell_dispatch/src/dispatcher.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The decisions about one request: whether it is taken, where it is sent and when it is refused.
 
-mod choosing;
-mod telling;
+mod messaging;
+mod selection;
 
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
@@ -12,16 +12,16 @@
 use apricotwell_types::{InstanceId, Map, Refusal, RefusalKind, ServerId, Tokens, ZoneId};
 
 use crate::backends::BackendTable;
-use crate::call::Call;
 use crate::catalog::{Catalog, Organisation, Route, ServiceId};
 use crate::demand::DemandTable;
-use crate::feeds::{FeedViews, Source};
+use crate::feeds::{FeedSource, FeedViews};
 use crate::freshness::Freshness;
-use crate::lease::{Lease, LeaseTerms};
+use crate::lease::{Lease, LeaseConfig};
 use crate::model::Wanted;
 use crate::peers::PeerTable;
 use crate::prompts::PromptTable;
 use crate::quota::{QuotaBounds, QuotaTable};
+use crate::request::RequestHead;
 use crate::retries::{RetryBounds, RetryWindow};
 use crate::stock::{Order, StockPlanner};
 
@@ -33,7 +33,7 @@
 
 /// Fixed facts of an instance.
 #[derive(Clone, Debug)]
-pub struct InstanceFacts {
+pub struct InstanceConfig {
     /// Name.
     pub id: InstanceId,
     /// Start number of the process.
@@ -45,13 +45,13 @@
     /// Whether the whole fleet starts for the first time.
     pub first_start: bool,
     /// Time within which a withdrawn key must stop working.
-    pub revocation: Duration,
+    pub revocation_bound: Duration,
     /// Excess over rates that the users allow.
     pub quota: QuotaBounds,
     /// Second attempts that the users allow.
     pub retries: RetryBounds,
     /// Times of the placement lease.
-    pub lease: LeaseTerms,
+    pub lease: LeaseConfig,
 }
 
 /// Request that was taken.
@@ -72,14 +72,14 @@
     /// When the caller or the route gives it up.
     pub deadline: Instant,
     /// When the caller gives it up unless something of the answer has come.
-    pub silence: Instant,
+    pub silence_deadline: Instant,
     /// Model wanted.
-    pub wanted: Option<Wanted>,
+    pub requested_model: Option<Wanted>,
 }
 
 /// Where a request goes next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Choice {
+pub enum RoutingDecision {
     /// To a server.
     Send(ServerId, SocketAddr),
     /// Nowhere yet; look again when something changes.
@@ -92,7 +92,7 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     /// Fixed facts.
-    pub facts: InstanceFacts,
+    pub config: InstanceConfig,
     /// Configuration in force.
     pub catalog: Option<Arc<Catalog>>,
     /// Age of the view.
@@ -108,34 +108,34 @@
     /// Placement lease.
     pub lease: Lease,
     /// Placement.
-    pub stock: StockPlanner,
+    pub planner: StockPlanner,
     /// Where prompts are cached.
     pub prompts: PromptTable,
     quotas: QuotaTable,
     retries: Map<ServiceId, RetryWindow>,
-    leaving: bool,
+    draining: bool,
     heartbeats: u64,
 }
 
 impl Dispatcher {
     /// Returns a dispatcher that knows nothing yet.
-    pub fn new(facts: InstanceFacts) -> Self {
+    pub fn new(config: InstanceConfig) -> Self {
         Self {
             catalog: None,
-            freshness: Freshness::new(facts.revocation),
+            freshness: Freshness::new(config.revocation_bound),
             feeds: FeedViews::default(),
             backends: BackendTable::default(),
             peers: PeerTable::default(),
             demand: DemandTable::default(),
-            lease: Lease::new(facts.lease),
-            stock: StockPlanner::default(),
+            lease: Lease::new(config.lease),
+            planner: StockPlanner::default(),
             prompts: PromptTable::default(),
-            quotas: QuotaTable::new(facts.quota, facts.first_start)
-                .with_phase((hash(&[&facts.id]) % PHASES) as f64 / PHASES as f64),
+            quotas: QuotaTable::new(config.quota, config.first_start)
+                .with_phase((hash(&[&config.id]) % PHASES) as f64 / PHASES as f64),
             retries: Map::default(),
-            leaving: false,
+            draining: false,
             heartbeats: 0,
-            facts,
+            config,
         }
     }
 
@@ -150,35 +150,37 @@
     }
 
     /// Stops attracting callers.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
     /// Returns whether the instance is on its way out.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_draining(&self) -> bool {
+        self.draining
     }
 
     /// Returns whether callers should be sent here.
     pub fn is_ready(&self, now: Instant) -> bool {
-        !self.leaving && self.catalog.is_some() && self.freshness.is_ready(now)
+        !self.draining && self.catalog.is_some() && self.freshness.is_ready(now)
     }
 
     /// Returns where to learn what is new in the store's feeds.
-    pub fn feed_source(&self, now: Instant) -> Source {
-        let reader = self.peers.first_ready(now, &self.facts.zone);
+    pub fn feed_source(&self, now: Instant) -> FeedSource {
+        let reader = self.peers.first_ready(now, &self.config.zone);
         match reader {
-            Some(reader) if reader < self.facts.id || !self.is_ready(now) => Source::Peer(reader),
-            _ => Source::Store,
+            Some(reader) if reader < self.config.id || !self.is_ready(now) => {
+                FeedSource::Peer(reader)
+            }
+            _ => FeedSource::Store,
         }
     }
 
     /// Returns the addresses to which callers should connect.
-    pub fn look_up(&self, now: Instant) -> Vec<String> {
+    pub fn client_addresses(&self, now: Instant) -> Vec<String> {
         let mut addresses: Vec<String> =
             self.peers.ready_addresses(now).map(str::to_owned).collect();
-        if self.is_ready(now) || (addresses.is_empty() && !self.leaving) {
-            addresses.push(self.facts.address.clone());
+        if self.is_ready(now) || (addresses.is_empty() && !self.draining) {
+            addresses.push(self.config.address.clone());
         }
         addresses.sort();
         addresses
@@ -189,7 +191,7 @@
     /// # Errors
     ///
     /// Returns the refusal for the caller; the request has not run.
-    pub fn admit(&mut self, now: Instant, call: &Call) -> Result<Admission, Refusal> {
+    pub fn admit(&mut self, now: Instant, call: &RequestHead) -> Result<Admission, Refusal> {
         let Some(catalog) = self.catalog.clone() else {
             return Err(unavailable("no configuration yet; try another instance"));
         };
@@ -211,7 +213,7 @@
         }
         let service = route.service(draw(&call.attempt)).clone();
         self.retry_window(&service).note_request(now);
-        let allowed = call.deadline.unwrap_or(route.timeout).min(route.timeout);
+        let allowed = call.timeout.unwrap_or(route.timeout).min(route.timeout);
         let admission = Admission {
             priority: organisation
                 .as_ref()
@@ -222,15 +224,15 @@
             tokens,
             arrived: now,
             deadline: now + allowed,
-            silence: now + allowed.min(route.patience()),
-            wanted: catalog
+            silence_deadline: now + allowed.min(route.silence_timeout()),
+            requested_model: catalog
                 .service(&service)
                 .is_some_and(|service| service.engine.is_some())
-                .then(|| call.wanted.clone())
+                .then(|| call.requested_model.clone())
                 .flatten(),
             service,
         };
-        if let Some(wanted) = &admission.wanted {
+        if let Some(wanted) = &admission.requested_model {
             self.demand.note_request(now, &admission.service, wanted);
         }
         Ok(admission)
@@ -241,9 +243,9 @@
         now: Instant,
         catalog: &Catalog,
         route: &Route,
-        call: &Call,
+        call: &RequestHead,
     ) -> Result<Option<Arc<Organisation>>, Refusal> {
-        if route.open || !catalog.needs_keys() {
+        if route.anonymous || !catalog.needs_keys() {
             return Ok(None);
         }
         if !self.freshness.is_usable(now) {
@@ -271,7 +273,7 @@
         organisation: &Organisation,
         tokens: Tokens,
     ) -> Result<(), Refusal> {
-        let (heard, possible) = (self.peers.heard(now), self.peers.possible());
+        let (heard, possible) = (self.peers.reporting_count(now), self.peers.possible_count());
         self.quotas.set_part(heard, possible);
         self.quotas
             .spend(now, organisation, tokens)
@@ -298,7 +300,7 @@
     }
 
     /// Returns whether other instances should hear of this organisation's spending at once.
-    pub fn is_tight(&mut self, now: Instant, admission: &Admission) -> bool {
+    pub fn is_near_limit(&mut self, now: Instant, admission: &Admission) -> bool {
         admission
             .organisation
             .as_ref()
@@ -316,18 +318,18 @@
     }
 
     /// Returns whether some organisation is close to its limit.
-    pub fn is_any_tight(&self) -> bool {
+    pub fn is_any_near_limit(&self) -> bool {
         self.quotas.is_any_tight()
     }
 
     /// Takes a second attempt from the budget of the request's service.
     pub fn take_retry(&mut self, now: Instant, admission: &Admission) -> bool {
-        let instances = self.peers.possible();
+        let instances = self.peers.possible_count();
         self.retry_window(&admission.service).take(now, instances)
     }
 
     fn retry_window(&mut self, service: &ServiceId) -> &mut RetryWindow {
-        let bounds = self.facts.retries;
+        let bounds = self.config.retries;
         self.retries
             .entry(service.clone())
             .or_insert_with(|| RetryWindow::new(bounds))
@@ -336,7 +338,7 @@
     /// Forgets what can no longer be true.
     pub fn expire(&mut self, now: Instant) {
         for gone in self.peers.expire(now) {
-            self.backends.forget_instance(&gone);
+            self.backends.remove_instance(&gone);
         }
         self.backends.expire(now);
     }
@@ -353,17 +355,17 @@
             .services()
             .filter(|service| service.engine.is_some());
         for service in engines {
-            self.stock.follow(now, &self.backends, service);
+            self.planner.follow(now, &self.backends, service);
             let uses = own.iter().chain(self.peers.model_uses(now));
-            orders.extend(self.stock.plan(now, service, &self.backends, uses));
+            orders.extend(self.planner.plan(now, service, &self.backends, uses));
         }
-        (orders, self.stock.take_due_reports(now))
+        (orders, self.planner.take_due_reports(now))
     }
 }
 
-fn charge(call: &Call, organisation: Option<&Organisation>) -> Tokens {
-    let plain = organisation.map_or(0, |organisation| organisation.plain_tokens);
-    call.tokens.unwrap_or(plain)
+fn charge(call: &RequestHead, organisation: Option<&Organisation>) -> Tokens {
+    let plain = organisation.map_or(0, |organisation| organisation.default_tokens);
+    call.max_tokens.unwrap_or(plain)
 }
 
 fn unavailable(text: &str) -> Refusal {
--- a/crates/apricotwell_dispatch/src/dispatcher/telling.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
@@ -16,18 +16,21 @@
     /// Returns this instance's heartbeat, without demand.
     pub fn heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.heartbeats += 1;
-        let servers = self.backends.iter().filter(|server| server.own > 0);
+        let servers = self
+            .backends
+            .iter()
+            .filter(|server| server.own_requests > 0);
         let fence = self.lease.announced_fence(now);
         Heartbeat {
-            instance: self.facts.id.to_string(),
-            incarnation: self.facts.incarnation,
+            instance: self.config.id.to_string(),
+            incarnation: self.config.incarnation,
             number: self.heartbeats,
-            address: self.facts.address.clone(),
+            address: self.config.address.clone(),
             ready: self.is_ready(now),
             servers: servers
                 .map(|server| ServerUse {
                     server: server.entry.id.to_string(),
-                    requests: server.own,
+                    requests: server.own_requests,
                 })
                 .collect(),
             spending: self
@@ -41,18 +44,18 @@
                 .collect(),
             models: Vec::new(),
             fence: fence.unwrap_or_default(),
-            zone: self.facts.zone.to_string(),
+            zone: self.config.zone.to_string(),
         }
     }
 
     /// Notes that all other instances are told what is spent here.
-    pub fn note_told(&mut self, now: Instant) {
+    pub fn on_spending_reported(&mut self, now: Instant) {
         self.quotas.note_told(now);
     }
 
     /// Applies another instance's heartbeat.
-    pub fn note_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
-        if heartbeat.instance == *self.facts.id || !self.peers.note_heartbeat(now, heartbeat) {
+    pub fn apply_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
+        if heartbeat.instance == *self.config.id || !self.peers.apply_heartbeat(now, heartbeat) {
             return false;
         }
         let instance: InstanceId = heartbeat.instance.as_str().into();
@@ -61,27 +64,27 @@
             .iter()
             .map(|usage| (usage.server.as_str(), usage.requests))
             .collect();
-        self.backends.note_use(&instance, &requests);
+        self.backends.set_peer_requests(&instance, &requests);
         if let Some(catalog) = self.catalog.clone() {
             self.note_spending(now, &catalog, &instance, heartbeat);
         }
-        self.lease.note_other(heartbeat.fence);
+        self.lease.observe_fence(heartbeat.fence);
         true
     }
 
     /// Applies what the lease holder tells of servers.
-    pub fn note_stock(&mut self, now: Instant, told: &StockTold) {
+    pub fn apply_inventory(&mut self, now: Instant, told: &StockTold) {
         for stock in &told.servers {
-            self.backends.note_stock(now, told.fence, stock);
+            self.backends.apply_inventory(now, told.fence, stock);
         }
     }
 
     /// Returns the instances to which the lease holder tells what servers hold, and for each whether
     /// it is to pass that on: its own zone's, and one of each other zone, another one every time.
-    pub fn stock_audience(&self, now: Instant, turn: usize) -> Vec<(InstanceId, bool)> {
+    pub fn inventory_recipients(&self, now: Instant, turn: usize) -> Vec<(InstanceId, bool)> {
         let mut audience = Vec::new();
-        for (zone, instances) in self.peers.by_zone(now) {
-            if zone == self.facts.zone {
+        for (zone, instances) in self.peers.alive_by_zone(now) {
+            if zone == self.config.zone {
                 audience.extend(instances.into_iter().map(|instance| (instance, false)));
             } else {
                 let relays = instances.len().min(STOCK_RELAYS);
@@ -93,8 +96,8 @@
 
     /// Returns the other instances of this one's zone.
     pub fn zone_peers(&self, now: Instant) -> Vec<InstanceId> {
-        let mut zones = self.peers.by_zone(now);
-        zones.remove(&self.facts.zone).unwrap_or_default()
+        let mut zones = self.peers.alive_by_zone(now);
+        zones.remove(&self.config.zone).unwrap_or_default()
     }
 
     fn note_spending(
--- a/crates/apricotwell_dispatch/src/dispatcher/choosing.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/selection.rs
@@ -4,11 +4,13 @@
 
 use apricotwell_types::ServerId;
 
-use super::{Admission, Choice, Dispatcher, NO_SERVER_PAUSE, hash, overloaded, unavailable};
+use super::{
+    Admission, Dispatcher, NO_SERVER_PAUSE, RoutingDecision, hash, overloaded, unavailable,
+};
 use crate::backends::Backend;
-use crate::call::Call;
 use crate::catalog::Service;
 use crate::model::Wanted;
+use crate::request::RequestHead;
 
 /// Delay that a request in another zone is taken to add, in ms: bytes between zones cost as much.
 const ZONE_COST_MS: f64 = 20.0;
@@ -33,34 +35,37 @@
 
 impl Dispatcher {
     /// Decides where a request goes; servers in `tried` are left out.
-    pub fn choose(
+    pub fn select_server(
         &self,
         now: Instant,
         admission: &Admission,
-        call: &Call,
+        call: &RequestHead,
         tried: &[ServerId],
-    ) -> Choice {
-        if now + ANSWER_MARGIN >= admission.silence {
-            return Choice::Refuse(overloaded("no server was free in time", NO_SERVER_PAUSE));
+    ) -> RoutingDecision {
+        if now + ANSWER_MARGIN >= admission.silence_deadline {
+            return RoutingDecision::Refuse(overloaded(
+                "no server was free in time",
+                NO_SERVER_PAUSE,
+            ));
         }
         let usable: Vec<&Backend> = self.backends.usable(now, &admission.service).collect();
         if usable.is_empty() {
-            return Choice::Refuse(unavailable("no server of this service is there"));
+            return RoutingDecision::Refuse(unavailable("no server of this service is there"));
         }
-        let wanted = admission.wanted.as_ref();
+        let wanted = admission.requested_model.as_ref();
         let holders: Vec<&Backend> = usable
             .iter()
             .filter(|server| server.serves(now, wanted) && !tried.contains(&server.entry.id))
             .copied()
             .collect();
         if let Some(server) = self.best(now, admission, call, &holders) {
-            return Choice::Send(server.entry.id.clone(), server.entry.address);
+            return RoutingDecision::Send(server.entry.id.clone(), server.entry.address);
         }
         if !holders.is_empty() {
-            return Choice::Wait;
+            return RoutingDecision::Wait;
         }
         let Some(wanted) = wanted else {
-            return Choice::Refuse(overloaded("every server was tried", NO_SERVER_PAUSE));
+            return RoutingDecision::Refuse(overloaded("every server was tried", NO_SERVER_PAUSE));
         };
         self.await_model(now, admission, wanted, &usable)
     }
@@ -69,10 +74,10 @@
         &self,
         now: Instant,
         admission: &Admission,
-        call: &Call,
+        call: &RequestHead,
         holders: &[&'a Backend],
     ) -> Option<&'a Backend> {
-        let queue = if admission.wanted.is_some() {
+        let queue = if admission.requested_model.is_some() {
             ENGINE_QUEUE
         } else {
             PLAIN_QUEUE
@@ -90,14 +95,20 @@
     // Delay in ms that a request is taken to meet at a server. Of the load only what this instance
     // sent itself is known to the moment, so that weighs most: if each instance spreads its own
     // requests evenly, all of them together are spread evenly, and none follow the same old view.
-    fn delay(&self, now: Instant, server: &Backend, admission: &Admission, call: &Call) -> f64 {
+    fn delay(
+        &self,
+        now: Instant,
+        server: &Backend,
+        admission: &Admission,
+        call: &RequestHead,
+    ) -> f64 {
         let in_flight = f64::from(server.in_flight());
         let mut delay = FAILURE_COST_MS * server.failure_rate(now);
-        if server.entry.zone != self.facts.zone {
+        if server.entry.zone != self.config.zone {
             delay += ZONE_COST_MS;
         }
-        delay += SPREAD_MS * spread(&self.facts.id, &server.entry.id);
-        let Some(wanted) = &admission.wanted else {
+        delay += SPREAD_MS * spread(&self.config.id, &server.entry.id);
+        let Some(wanted) = &admission.requested_model else {
             return delay + PLAIN_REQUEST_MS * in_flight;
         };
         let id = &server.entry.id;
@@ -113,7 +124,7 @@
         admission: &Admission,
         wanted: &Wanted,
         usable: &[&Backend],
-    ) -> Choice {
+    ) -> RoutingDecision {
         let service = self
             .catalog
             .as_ref()
@@ -121,12 +132,12 @@
         let Some(load) = service.and_then(|service| expected_load(now, service, wanted, usable))
         else {
             let text = "no server can run this model; ask for one of the service's models";
-            return Choice::Refuse(overloaded(text, NO_SERVER_PAUSE));
+            return RoutingDecision::Refuse(overloaded(text, NO_SERVER_PAUSE));
         };
-        if now + load + ANSWER_MARGIN < admission.silence {
-            return Choice::Wait;
+        if now + load + ANSWER_MARGIN < admission.silence_deadline {
+            return RoutingDecision::Wait;
         }
-        Choice::Refuse(overloaded(
+        RoutingDecision::Refuse(overloaded(
             "the model is being loaded; come back then",
             load,
         ))
@@ -150,14 +161,14 @@
     }
     let loading = usable.iter().filter_map(|server| {
         let loading = server.loading.as_ref()?;
-        (loading.model == wanted.model).then(|| loading.ends.saturating_duration_since(now))
+        (loading.model == wanted.model).then(|| loading.ends_at.saturating_duration_since(now))
     });
     if let Some(left) = loading.min() {
         return Some(left + LOAD_OVERHEAD / 2);
     }
     let cached = usable.iter().filter_map(|server| {
         let busy = server.loading.as_ref().map_or(Duration::ZERO, |loading| {
-            loading.ends.saturating_duration_since(now)
+            loading.ends_at.saturating_duration_since(now)
         });
         let holdings = &server.holdings;
         if holdings.in_memory.contains(&wanted.model) {
--- a/crates/apricotwell_dispatch/src/feeds.rs
+++ b/crates/apricotwell_dispatch/src/feeds.rs
@@ -12,7 +12,7 @@
 use apricotwell_messages::{FeedAnswer, FeedQuery, ModelHeld, ServerChange, ServerListed};
 use apricotwell_types::{InstanceId, Offset, ServerId};
 
-use crate::backends::Entry;
+use crate::backends::BackendEntry;
 use crate::model::{Holdings, ModelName};
 
 /// Changes of the list of servers that are kept for other instances.
@@ -31,7 +31,7 @@
 
 /// Where an instance learns what is new.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum FeedSource {
     /// In the store.
     Store,
     /// From another instance.
@@ -40,22 +40,22 @@
 
 /// Change of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListChange {
+pub enum ServerListChange {
     /// Entry of a server.
-    Entry(Entry),
+    Entry(BackendEntry),
     /// A server left the list.
     Removed(ServerId),
 }
 
 /// What another instance told of a feed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct FeedUpdate {
     /// Changes of the list of servers.
-    pub changes: Vec<ListChange>,
+    pub changes: Vec<ServerListChange>,
     /// Offset up to which the feed is known now.
     pub next: Offset,
     /// Time up to which nothing else came; `None` while more is to be asked for.
-    pub current: Option<Instant>,
+    pub confirmed_at: Option<Instant>,
 }
 
 /// Views of both feeds, with what other instances may ask of them.
@@ -76,7 +76,7 @@
 
 impl FeedViews {
     /// Notes that a feed is known up to an offset, and that nothing else had come at `current`.
-    pub fn note_current(&mut self, feed: Feed, next: Offset, current: Instant) {
+    pub fn record_position(&mut self, feed: Feed, next: Offset, current: Instant) {
         let view = match feed {
             Feed::Configuration => &mut self.configuration,
             Feed::Servers => &mut self.servers,
@@ -86,13 +86,13 @@
     }
 
     /// Notes that the list of servers is known from an offset on only.
-    pub fn start_from(&mut self, next: Offset) {
+    pub fn reset_changes(&mut self, next: Offset) {
         self.changes.clear();
         self.kept_from = next;
     }
 
     /// Keeps a change of the list of servers that came before `next`.
-    pub fn note_change(&mut self, next: Offset, change: &ListChange) {
+    pub fn record_change(&mut self, next: Offset, change: &ServerListChange) {
         self.changes.push_back((next, encode_change(change)));
         if self.changes.len() > MAX_CHANGES
             && let Some((dropped, _)) = self.changes.pop_front()
@@ -158,35 +158,35 @@
 /// Decodes an answer to a question that was sent at `asked`, when the feed was known up to `from`.
 ///
 /// Returns `None` if it does not tell all that came since.
-pub fn decode_answer(asked: Instant, from: Offset, answer: &FeedAnswer) -> Option<Told> {
+pub fn decode_answer(asked: Instant, from: Offset, answer: &FeedAnswer) -> Option<FeedUpdate> {
     if !answer.covers {
         return None;
     }
     let changes = answer.servers.iter().map(decode_change);
-    Some(Told {
+    Some(FeedUpdate {
         changes: changes.collect::<Option<_>>()?,
         next: answer.next.max(from),
-        current: match answer.more {
+        confirmed_at: match answer.more {
             true => None,
             false => Some(asked.checked_sub(Duration::from_millis(u64::from(answer.age)))?),
         },
     })
 }
 
-fn encode_change(change: &ListChange) -> ServerChange {
+fn encode_change(change: &ServerListChange) -> ServerChange {
     match change {
-        ListChange::Removed(id) => ServerChange {
+        ServerListChange::Removed(id) => ServerChange {
             server: id.to_string(),
             listed: None,
         },
-        ListChange::Entry(entry) => ServerChange {
+        ServerListChange::Entry(entry) => ServerChange {
             server: entry.id.to_string(),
             listed: Some(encode_entry(entry)),
         },
     }
 }
 
-fn encode_entry(entry: &Entry) -> ServerListed {
+fn encode_entry(entry: &BackendEntry) -> ServerListed {
     let names = |names: &[ModelName]| names.iter().map(ToString::to_string).collect();
     let held = entry
         .holdings
@@ -201,11 +201,11 @@
         address: entry.address.to_string(),
         zone: entry.zone.to_string(),
         slots: entry.slots,
-        leaving: entry.leaving,
+        leaving: entry.draining,
         remaining: entry
             .remaining
             .map(|left| u32::try_from(left.as_millis()).unwrap_or(u32::MAX)),
-        born: entry.born,
+        born: entry.started_ms,
         orders: entry.holdings.orders,
         models: held.collect(),
         in_memory: names(&entry.holdings.in_memory),
@@ -213,25 +213,25 @@
     }
 }
 
-fn decode_change(change: &ServerChange) -> Option<ListChange> {
+fn decode_change(change: &ServerChange) -> Option<ServerListChange> {
     let id: ServerId = change.server.as_str().into();
     let Some(listed) = &change.listed else {
-        return Some(ListChange::Removed(id));
+        return Some(ServerListChange::Removed(id));
     };
     let address: SocketAddr = listed.address.parse().ok()?;
     let names = |names: &[String]| names.iter().map(|name| name.as_str().into()).collect();
     let models = listed.models.iter();
-    Some(ListChange::Entry(Entry {
+    Some(ServerListChange::Entry(BackendEntry {
         id,
         service: listed.service.as_str().into(),
         address,
         zone: listed.zone.as_str().into(),
         slots: listed.slots,
-        leaving: listed.leaving,
+        draining: listed.leaving,
         remaining: listed
             .remaining
             .map(|left| Duration::from_millis(u64::from(left))),
-        born: listed.born,
+        started_ms: listed.born,
         holdings: Holdings {
             orders: listed.orders,
             models: models
--- a/crates/apricotwell_dispatch/src/freshness.rs
+++ b/crates/apricotwell_dispatch/src/freshness.rs
@@ -34,7 +34,7 @@
     }
 
     /// Notes a read that reached the end of the log and began at `start`.
-    pub fn note_current(&mut self, start: Instant) {
+    pub fn record_read(&mut self, start: Instant) {
         self.current = self.current.max(Some(start));
     }
 
--- a/crates/apricotwell_dispatch/src/news.rs
+++ b/crates/apricotwell_dispatch/src/inventory_updates.rs
@@ -26,13 +26,13 @@
 
 /// Picks what to tell, so that its size does not grow with the number of servers.
 #[derive(Debug, Default)]
-pub struct StockNews {
+pub struct InventoryUpdates {
     told: BTreeMap<ServerId, Told>,
     // Last server that was told of in turn.
     last: Option<ServerId>,
 }
 
-impl StockNews {
+impl InventoryUpdates {
     /// Returns whether a server changed since it was last told of.
     pub fn has_change(&self, now: Instant, planner: &StockPlanner, list: &BackendTable) -> bool {
         planner.servers().any(|(id, server)| {
@@ -41,7 +41,7 @@
     }
 
     /// Returns what is to be told next; others know what the list of servers says.
-    pub fn take(
+    pub fn take_batch(
         &mut self,
         now: Instant,
         planner: &StockPlanner,
--- a/crates/apricotwell_dispatch/src/lease.rs
+++ b/crates/apricotwell_dispatch/src/lease.rs
@@ -20,20 +20,20 @@
 
 /// Times of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeaseTerms {
+pub struct LeaseConfig {
     /// Time without a renewal after which the group drops a member.
     pub term: Duration,
     /// Pause between the last order of one holder and the first of the next.
-    pub pause: Duration,
+    pub handover_pause: Duration,
     /// Longest time between two renewals of a process that runs and is answered.
-    pub renewal: Duration,
+    pub max_renewal_gap: Duration,
     /// Whether servers refuse fences lower than one that they have seen.
     pub fenced: bool,
 }
 
 /// Who holds the lease by the log and the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ClaimStatus {
     /// Nobody ever claimed it.
     Unclaimed,
     /// The last claim is of this process or of an earlier one on this machine.
@@ -46,12 +46,12 @@
 
 /// What to do about the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaseStep {
+pub enum LeaseAction {
     /// Nothing.
     Keep,
-    /// Look at the log and the group, then call [`Lease::note_standing`].
+    /// Look at the log and the group, then call [`Lease::apply_status`].
     Check,
-    /// Append a claim to the log, then call [`Lease::note_claim`].
+    /// Append a claim to the log, then call [`Lease::apply_claim`].
     Claim,
     /// Stop ordering.
     Stop,
@@ -66,7 +66,7 @@
 /// Where they do, another instance may get a higher one, which prevails at each server.
 #[derive(Debug)]
 pub struct Lease {
-    terms: LeaseTerms,
+    terms: LeaseConfig,
     // Start of the last renewal that the store answered.
     renewed: Option<Instant>,
     // Start of the last renewal, answered or not.
@@ -84,7 +84,7 @@
 
 impl Lease {
     /// Returns a lease that is not held.
-    pub fn new(terms: LeaseTerms) -> Self {
+    pub fn new(terms: LeaseConfig) -> Self {
         Self {
             terms,
             renewed: None,
@@ -95,7 +95,7 @@
     }
 
     /// Notes that a renewal begins.
-    pub fn note_try(&mut self, now: Instant) {
+    pub fn begin_renewal(&mut self, now: Instant) {
         // A renewal that comes late was held up with the whole process, and others may have moved on.
         if self.is_stalled(now) {
             self.drop_claim();
@@ -105,47 +105,47 @@
 
     /// Notes that the store answered the renewal that began at `start`; `changed` says whether the
     /// group has changed since the last check.
-    pub fn note_renewal(&mut self, start: Instant, changed: bool) -> LeaseStep {
+    pub fn complete_renewal(&mut self, start: Instant, changed: bool) -> LeaseAction {
         let gap = self
             .renewed
             .map(|before| start.saturating_duration_since(before));
         self.renewed = Some(start);
         let unbroken = gap.is_some_and(|gap| gap + TERM_MARGIN < self.terms.term);
         if self.claim.is_some() && unbroken {
-            return LeaseStep::Keep;
+            return LeaseAction::Keep;
         }
         if self.claim.is_none() && !changed && !self.unsure {
-            return LeaseStep::Keep;
+            return LeaseAction::Keep;
         }
-        LeaseStep::Check
+        LeaseAction::Check
     }
 
     /// Notes who holds the lease; `candidate` says whether a free one falls to this instance.
-    pub fn note_standing(&mut self, standing: Standing, candidate: bool) -> LeaseStep {
+    pub fn apply_status(&mut self, standing: ClaimStatus, candidate: bool) -> LeaseAction {
         self.unsure = false;
         match standing {
-            Standing::Own if self.claim.is_some() => LeaseStep::Keep,
-            Standing::Own => LeaseStep::Claim,
-            Standing::Unclaimed | Standing::Dropped if candidate => LeaseStep::Claim,
+            ClaimStatus::Own if self.claim.is_some() => LeaseAction::Keep,
+            ClaimStatus::Own => LeaseAction::Claim,
+            ClaimStatus::Unclaimed | ClaimStatus::Dropped if candidate => LeaseAction::Claim,
             _ => match self.claim.take() {
-                Some(_) => LeaseStep::Stop,
-                None => LeaseStep::Keep,
+                Some(_) => LeaseAction::Stop,
+                None => LeaseAction::Keep,
             },
         }
     }
 
     /// Notes that the claim was appended at the offset that gives `fence`.
-    pub fn note_claim(&mut self, now: Instant, fence: Fence, standing: Standing) {
+    pub fn apply_claim(&mut self, now: Instant, fence: Fence, standing: ClaimStatus) {
         let wait = match standing {
             // Orders of one machine are those of one holder.
-            Standing::Unclaimed | Standing::Own => Duration::ZERO,
-            Standing::Taken => self.terms.pause,
+            ClaimStatus::Unclaimed | ClaimStatus::Own => Duration::ZERO,
+            ClaimStatus::Taken => self.terms.handover_pause,
             // The holder was silent for the term, save for the time between two renewals. One that
             // lives on, cut off from the store, is stopped by the higher fence.
-            Standing::Dropped if self.terms.fenced => {
-                (self.terms.pause + self.terms.renewal).saturating_sub(self.terms.term)
-            }
-            Standing::Dropped => self.terms.pause,
+            ClaimStatus::Dropped if self.terms.fenced => (self.terms.handover_pause
+                + self.terms.max_renewal_gap)
+                .saturating_sub(self.terms.term),
+            ClaimStatus::Dropped => self.terms.handover_pause,
         };
         self.claim = Some(Claim {
             fence,
@@ -154,12 +154,12 @@
     }
 
     /// Drops the claim, after a server refused its fence.
-    pub fn note_fenced(&mut self) {
+    pub fn on_fenced(&mut self) {
         self.drop_claim();
     }
 
     /// Drops the claim if another instance orders with a higher fence.
-    pub fn note_other(&mut self, fence: Fence) {
+    pub fn observe_fence(&mut self, fence: Fence) {
         if self.claim.is_some_and(|claim| claim.fence < fence) {
             self.drop_claim();
         }
@@ -199,7 +199,7 @@
 
     // Whether the process has not run for a while, so that it can't know what others did.
     fn is_stalled(&self, now: Instant) -> bool {
-        let limit = self.terms.renewal * 2 + TERM_MARGIN;
+        let limit = self.terms.max_renewal_gap * 2 + TERM_MARGIN;
         self.tried
             .is_some_and(|tried| now.saturating_duration_since(tried) >= limit)
     }
--- a/crates/apricotwell_dispatch/src/lib.rs
+++ b/crates/apricotwell_dispatch/src/lib.rs
@@ -13,43 +13,43 @@
 //! let now = Instant::now();
 //! let mut freshness = Freshness::new(Duration::from_secs(5));
 //! assert!(!freshness.is_usable(now));
-//! freshness.note_current(now);
+//! freshness.record_read(now);
 //! assert!(freshness.is_usable(now + Duration::from_secs(3)));
 //! assert!(!freshness.is_usable(now + Duration::from_secs(5)));
 //! ```
 
 pub mod backends;
-pub mod call;
 pub mod catalog;
 pub mod demand;
 pub mod dispatcher;
 pub mod feeds;
 pub mod freshness;
+pub mod inventory_updates;
 pub mod lease;
 pub mod model;
-pub mod news;
 pub mod orders;
 pub mod peers;
 pub mod prompts;
 pub mod quota;
+pub mod request;
 pub mod retries;
 pub mod stock;
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
-    pub use crate::backends::{BackendTable, Entry};
-    pub use crate::call::{AttemptId, Call, PromptPart};
+    pub use crate::backends::{BackendEntry, BackendTable};
     pub use crate::catalog::{
-        CallerLimits, Catalog, EngineSpec, ModelSpec, Organisation, Route, RouteKind, Service,
+        Catalog, ClientLimits, EngineSpec, ModelSpec, Organisation, Route, RouteKind, Service,
         ServiceId,
     };
-    pub use crate::dispatcher::{Admission, Choice, Dispatcher, InstanceFacts};
-    pub use crate::feeds::{Feed, ListChange, Source};
+    pub use crate::dispatcher::{Admission, Dispatcher, InstanceConfig, RoutingDecision};
+    pub use crate::feeds::{Feed, FeedSource, ServerListChange};
     pub use crate::freshness::Freshness;
-    pub use crate::lease::{Lease, LeaseStep, LeaseTerms, Standing};
+    pub use crate::inventory_updates::InventoryUpdates;
+    pub use crate::lease::{ClaimStatus, Lease, LeaseAction, LeaseConfig};
     pub use crate::model::{AdapterName, Holdings, ModelName, Wanted};
-    pub use crate::news::StockNews;
     pub use crate::orders::{Operation, OrderReply, Report};
     pub use crate::quota::QuotaBounds;
+    pub use crate::request::{AttemptId, PromptSegment, RequestHead};
     pub use crate::retries::RetryBounds;
 }
--- a/crates/apricotwell_dispatch/src/peers.rs
+++ b/crates/apricotwell_dispatch/src/peers.rs
@@ -15,7 +15,7 @@
 
 /// Returns the pause between heartbeats in a fleet of so many instances: the larger it is, the rarer
 /// they are, so that each instance's share of the traffic stays the same.
-pub fn heartbeat_pause(instances: u32) -> Duration {
+pub fn heartbeat_interval(instances: u32) -> Duration {
     HEARTBEAT_PAUSE.max(PAUSE_PER_INSTANCE * instances)
 }
 
@@ -50,7 +50,7 @@
 
 impl PeerTable {
     /// Applies a heartbeat; returns whether it is newer than what was known.
-    pub fn note_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
+    pub fn apply_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
         let order = (heartbeat.incarnation, heartbeat.number);
         let known = self.peers.get(heartbeat.instance.as_str());
         // After a silence the instance may have started anew with a clock that was set back.
@@ -76,7 +76,7 @@
     }
 
     /// Applies the store's list of members.
-    pub fn note_members<I>(&mut self, now: Instant, members: I)
+    pub fn apply_members<I>(&mut self, now: Instant, members: I)
     where
         I: IntoIterator<Item = InstanceId>,
     {
@@ -85,7 +85,7 @@
     }
 
     /// Keeps the members that were last listed, after a renewal that showed no change.
-    pub fn note_unchanged(&mut self, now: Instant) {
+    pub fn refresh_members(&mut self, now: Instant) {
         let newest = self.members.values().max().copied();
         for listed in self.members.values_mut() {
             if Some(*listed) == newest {
@@ -109,7 +109,7 @@
     }
 
     /// Returns whom heartbeats go to.
-    pub fn targets(&self) -> Vec<InstanceId> {
+    pub fn heartbeat_targets(&self) -> Vec<InstanceId> {
         let mut targets: Vec<InstanceId> = self
             .members
             .keys()
@@ -141,7 +141,7 @@
     }
 
     /// Returns the instances that are heard by zone, each zone's in order.
-    pub fn by_zone(&self, now: Instant) -> BTreeMap<ZoneId, Vec<InstanceId>> {
+    pub fn alive_by_zone(&self, now: Instant) -> BTreeMap<ZoneId, Vec<InstanceId>> {
         let mut zones: BTreeMap<ZoneId, Vec<InstanceId>> = BTreeMap::new();
         for (id, peer) in &self.peers {
             if self.is_heard(now, peer) {
@@ -164,7 +164,7 @@
     }
 
     /// Returns the number of instances that tell what they do, this one included.
-    pub fn heard(&self, now: Instant) -> usize {
+    pub fn reporting_count(&self, now: Instant) -> usize {
         1 + self
             .peers
             .values()
@@ -173,8 +173,8 @@
     }
 
     /// Returns the number of instances that may be serving, this one included.
-    pub fn possible(&self) -> usize {
-        1 + self.targets().len()
+    pub fn possible_count(&self) -> usize {
+        1 + self.heartbeat_targets().len()
     }
 
     /// Returns the demand for models at all other instances that are heard.
@@ -192,7 +192,7 @@
 
     fn is_heard_within(&self, now: Instant, peer: &Peer, tenths: u32) -> bool {
         let instances = 1 + self.peers.len() as u32;
-        let silence = heartbeat_pause(instances) * tenths / 10;
+        let silence = heartbeat_interval(instances) * tenths / 10;
         now.saturating_duration_since(peer.heard) < silence
     }
 }
--- a/crates/apricotwell_dispatch/src/prompts.rs
+++ b/crates/apricotwell_dispatch/src/prompts.rs
@@ -4,8 +4,8 @@
 
 use apricotwell_types::{Map, ServerId};
 
-use crate::call::PromptPart;
 use crate::model::Wanted;
+use crate::request::PromptSegment;
 
 /// Parts remembered for one server.
 const PARTS_PER_SERVER: usize = 512;
@@ -24,7 +24,7 @@
 
 impl PromptTable {
     /// Notes that a server reads a prompt.
-    pub fn note_sent(&mut self, server: &ServerId, wanted: &Wanted, prompt: &[PromptPart]) {
+    pub fn note_sent(&mut self, server: &ServerId, wanted: &Wanted, prompt: &[PromptSegment]) {
         let known = self.servers.entry(server.clone()).or_default();
         for part in prompt {
             let key = (wanted.clone(), part.id);
@@ -40,7 +40,7 @@
     }
 
     /// Returns the tokens of a prompt that a server has to read.
-    pub fn tokens_to_read(&self, server: &str, wanted: &Wanted, prompt: &[PromptPart]) -> f64 {
+    pub fn tokens_to_read(&self, server: &str, wanted: &Wanted, prompt: &[PromptSegment]) -> f64 {
         let total: u64 = prompt.iter().map(|part| part.tokens).sum();
         let Some(known) = self.servers.get(server) else {
             return total as f64;
--- a/crates/apricotwell_dispatch/src/call.rs
+++ b/crates/apricotwell_dispatch/src/request.rs
@@ -11,7 +11,7 @@
 
 /// Part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// Id.
     pub id: u64,
     /// Tokens.
@@ -20,7 +20,7 @@
 
 /// Request of a caller without its body.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct RequestHead {
     /// Attempt.
     pub attempt: AttemptId,
     /// Host, in lower case and without a port.
@@ -30,13 +30,13 @@
     /// Digest of the key shown, if one was.
     pub key: Option<KeyDigest>,
     /// Time for which the caller waits, if it says so.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Model wanted, for model engines.
-    pub wanted: Option<Wanted>,
+    pub requested_model: Option<Wanted>,
     /// Tokens read and written at most, if the caller says so.
-    pub tokens: Option<Tokens>,
+    pub max_tokens: Option<Tokens>,
     /// Parts of the prompt, in order.
-    pub prompt: Vec<PromptPart>,
+    pub prompt: Vec<PromptSegment>,
     /// Last event that the caller has of a stream that broke off.
     pub last_event: Option<u64>,
 }
--- a/crates/apricotwell_dispatch/src/stock.rs
+++ b/crates/apricotwell_dispatch/src/stock.rs
@@ -87,9 +87,9 @@
         for backend in backends.usable(now, &service.name) {
             let entry = &backend.entry;
             let known = self.servers.get(&entry.id);
-            if known.is_none_or(|known| known.born() != entry.born) {
+            if known.is_none_or(|known| known.born() != entry.started_ms) {
                 self.servers
-                    .insert(entry.id.clone(), ServerOrders::new(now, entry.born));
+                    .insert(entry.id.clone(), ServerOrders::new(now, entry.started_ms));
             } else if let Some(known) = self.servers.get_mut(&entry.id) {
                 known.note_listed(now, &entry.holdings);
             }
--- a/crates/apricotwell_dispatch/src/stock/adapters.rs
+++ b/crates/apricotwell_dispatch/src/stock/adapters.rs
@@ -44,7 +44,7 @@
                 let holdings = self.servers.get(id)?.holdings()?;
                 holdings.adapters(model)?;
                 let full = holdings.adapter_count() >= plan.engine.adapter_slots
-                    || free_memory(plan.engine, holdings) < spec.adapter_weights;
+                    || free_memory(plan.engine, holdings) < spec.adapter_mb;
                 Some((full, holdings.adapter_count(), backend.in_flight(), id))
             })
             .min();
--- a/crates/apricotwell_dispatch/src/stock/loading.rs
+++ b/crates/apricotwell_dispatch/src/stock/loading.rs
@@ -177,7 +177,7 @@
         let server = self.servers.get(id)?;
         let holdings = server.holdings()?;
         let free = free_memory(plan.engine, holdings);
-        if free >= spec.weights {
+        if free >= spec.weights_mb {
             return Some(Room {
                 victim: None,
                 time: Duration::ZERO,
--- a/crates/apricotwell_dispatch/src/stock/plan.rs
+++ b/crates/apricotwell_dispatch/src/stock/plan.rs
@@ -98,15 +98,15 @@
 /// Returns the memory that neither models nor adapters take, in MB.
 pub(super) fn free_memory(engine: &EngineSpec, holdings: &Holdings) -> f64 {
     let largest = || {
-        let weights = engine.models.values().map(|spec| spec.weights);
+        let weights = engine.models.values().map(|spec| spec.weights_mb);
         weights.fold(0.0, f64::max)
     };
     let taken = holdings.models.iter().map(|(name, adapters)| {
         // A model that the configuration no longer names is counted as the largest.
         let spec = engine.model(name);
-        let weights = spec.map_or_else(largest, |spec| spec.weights);
-        let adapter = spec.map_or(0.0, |spec| spec.adapter_weights);
+        let weights = spec.map_or_else(largest, |spec| spec.weights_mb);
+        let adapter = spec.map_or(0.0, |spec| spec.adapter_mb);
         weights + adapter * adapters.len() as f64
     });
-    engine.weights - taken.sum::<f64>()
+    engine.memory_mb - taken.sum::<f64>()
 }
--- a/crates/apricotwell_dispatch/tests/dispatcher.rs
+++ b/crates/apricotwell_dispatch/tests/dispatcher.rs
@@ -2,20 +2,20 @@
 
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::backends::Entry;
+use apricotwell_dispatch::backends::BackendEntry;
 use apricotwell_dispatch::prelude::*;
 use apricotwell_types::{KeyDigest, RefusalKind};
 
 const REVOCATION: Duration = Duration::from_secs(5);
 
-fn facts() -> InstanceFacts {
-    InstanceFacts {
+fn facts() -> InstanceConfig {
+    InstanceConfig {
         id: "10.0.0.1:7600".into(),
         incarnation: 1,
         zone: "a".into(),
         address: "10.0.0.1:80".to_owned(),
         first_start: true,
-        revocation: REVOCATION,
+        revocation_bound: REVOCATION,
         quota: QuotaBounds {
             window: Duration::from_secs(8),
             excess: 0.1,
@@ -26,10 +26,10 @@
             window: Duration::from_secs(10),
             slack: 58.0,
         },
-        lease: LeaseTerms {
+        lease: LeaseConfig {
             term: Duration::from_secs(2),
-            pause: Duration::from_secs(3),
-            renewal: Duration::from_millis(700),
+            handover_pause: Duration::from_secs(3),
+            max_renewal_gap: Duration::from_millis(700),
             fenced: true,
         },
     }
@@ -38,20 +38,20 @@
 fn model(name: &str) -> ModelSpec {
     ModelSpec {
         name: name.into(),
-        weights: 70_000.0,
+        weights_mb: 70_000.0,
         store_load: Duration::from_secs(9),
         disk_load: Duration::from_secs(2),
         memory_load: Duration::from_secs(1),
-        adapter_weights: 60.0,
+        adapter_mb: 60.0,
         adapters: 4,
     }
 }
 
 fn catalog() -> Catalog {
-    let mut catalog = Catalog::new(3, CallerLimits::default());
+    let mut catalog = Catalog::new(3, ClientLimits::default());
     let engine = EngineSpec {
         slots: 4,
-        weights: 210_000.0,
+        memory_mb: 210_000.0,
         adapter_slots: 8,
         loads_per_second: 2.0,
         kv_tokens: 100_000,
@@ -75,29 +75,29 @@
         priority: 1,
         services: vec![("engines".into(), 1)],
         max_attempts: 1,
-        open: false,
+        anonymous: false,
     });
     let organisation = Organisation {
         name: "kitchens".into(),
         priority: None,
         rate: 10_000,
         burst: 10_000,
-        plain_tokens: 200,
+        default_tokens: 200,
     };
     catalog.add_organisation(organisation, [KeyDigest::of_secret("key")]);
     catalog
 }
 
-fn entry(id: &str, models: &[&str]) -> Entry {
-    Entry {
+fn entry(id: &str, models: &[&str]) -> BackendEntry {
+    BackendEntry {
         id: id.into(),
         service: "engines".into(),
         address: "10.0.1.1:80".parse().unwrap(),
         zone: "a".into(),
         slots: 4,
-        leaving: false,
+        draining: false,
         remaining: None,
-        born: 1,
+        started_ms: 1,
         holdings: Holdings {
             models: models
                 .iter()
@@ -109,19 +109,19 @@
     }
 }
 
-fn call(attempt: &str, model: &str) -> Call {
-    Call {
+fn call(attempt: &str, model: &str) -> RequestHead {
+    RequestHead {
         attempt: attempt.to_owned(),
         host: "h".to_owned(),
         path: "/draft/x".to_owned(),
         key: Some(KeyDigest::of_secret("key")),
-        deadline: None,
-        wanted: Some(Wanted {
+        timeout: None,
+        requested_model: Some(Wanted {
             model: model.into(),
             adapter: None,
         }),
-        tokens: Some(1_000),
-        prompt: vec![PromptPart { id: 1, tokens: 900 }],
+        max_tokens: Some(1_000),
+        prompt: vec![PromptSegment { id: 1, tokens: 900 }],
         last_event: None,
     }
 }
@@ -129,24 +129,29 @@
 fn dispatcher(now: Instant) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(facts());
     dispatcher.apply_catalog(catalog());
-    dispatcher.freshness.note_current(now);
+    dispatcher.freshness.record_read(now);
     for id in ["one", "two", "three"] {
-        dispatcher.backends.note_entry(now, entry(id, &["held"]));
+        dispatcher.backends.apply_entry(now, entry(id, &["held"]));
     }
     dispatcher
 }
 
-fn choose(dispatcher: &mut Dispatcher, now: Instant, attempt: &str, model: &str) -> Choice {
+fn choose(
+    dispatcher: &mut Dispatcher,
+    now: Instant,
+    attempt: &str,
+    model: &str,
+) -> RoutingDecision {
     let call = call(attempt, model);
     let admission = dispatcher.admit(now, &call).unwrap();
-    dispatcher.choose(now, &admission, &call, &[])
+    dispatcher.select_server(now, &admission, &call, &[])
 }
 
 #[test]
 fn an_older_configuration_never_replaces_a_newer_one() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    let older = Catalog::new(2, CallerLimits::default());
+    let older = Catalog::new(2, ClientLimits::default());
     assert!(!dispatcher.apply_catalog(older));
     assert_eq!(dispatcher.catalog.as_ref().unwrap().version, 3);
 }
@@ -157,8 +162,9 @@
     let mut dispatcher = dispatcher(now);
     let mut other = call("a", "held");
     other.path = "/new/x".to_owned();
-    let kind =
-        |dispatcher: &mut Dispatcher, at, call: &Call| dispatcher.admit(at, call).unwrap_err().kind;
+    let kind = |dispatcher: &mut Dispatcher, at, call: &RequestHead| {
+        dispatcher.admit(at, call).unwrap_err().kind
+    };
     assert_eq!(
         kind(&mut dispatcher, now, &other),
         RefusalKind::RouteNotFound
@@ -191,11 +197,12 @@
     let mut dispatcher = dispatcher(now);
     let mut counts = std::collections::BTreeMap::new();
     for number in 0..9 {
-        let Choice::Send(server, _) = choose(&mut dispatcher, now, &number.to_string(), "held")
+        let RoutingDecision::Send(server, _) =
+            choose(&mut dispatcher, now, &number.to_string(), "held")
         else {
             panic!("no server");
         };
-        dispatcher.backends.note_start(now, &server, 900.0);
+        dispatcher.backends.begin_request(now, &server, 900.0);
         *counts.entry(server).or_insert(0) += 1;
     }
     assert_eq!(counts.values().copied().collect::<Vec<u32>>(), [3, 3, 3]);
@@ -205,18 +212,18 @@
 fn a_server_that_fails_is_avoided_and_tried_again_later() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    let Choice::Send(first, _) = choose(&mut dispatcher, now, "a", "held") else {
+    let RoutingDecision::Send(first, _) = choose(&mut dispatcher, now, "a", "held") else {
         panic!("no server");
     };
     for _ in 0..4 {
-        dispatcher.backends.note_outcome(now, &first, true);
+        dispatcher.backends.record_outcome(now, &first, true);
     }
     let second = choose(&mut dispatcher, now, "b", "held");
-    assert!(matches!(second, Choice::Send(server, _) if server != first));
+    assert!(matches!(second, RoutingDecision::Send(server, _) if server != first));
     let later = now + Duration::from_secs(40);
-    dispatcher.freshness.note_current(later);
+    dispatcher.freshness.record_read(later);
     let again = choose(&mut dispatcher, later, "c", "held");
-    assert!(matches!(again, Choice::Send(server, _) if server == first));
+    assert!(matches!(again, RoutingDecision::Send(server, _) if server == first));
 }
 
 #[test]
@@ -225,13 +232,16 @@
     let mut dispatcher = dispatcher(now);
     for id in ["one", "two", "three"] {
         for _ in 0..4 {
-            dispatcher.backends.note_start(now, id, 0.0);
+            dispatcher.backends.begin_request(now, id, 0.0);
         }
     }
-    assert_eq!(choose(&mut dispatcher, now, "a", "held"), Choice::Wait);
-    dispatcher.backends.note_end("two");
+    assert_eq!(
+        choose(&mut dispatcher, now, "a", "held"),
+        RoutingDecision::Wait
+    );
+    dispatcher.backends.end_request("two");
     let choice = choose(&mut dispatcher, now, "b", "held");
-    assert!(matches!(choice, Choice::Send(server, _) if &*server == "two"));
+    assert!(matches!(choice, RoutingDecision::Send(server, _) if &*server == "two"));
 }
 
 #[test]
@@ -239,13 +249,16 @@
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
     // Callers of the route stay for four times its target of a second.
-    assert_eq!(choose(&mut dispatcher, now, "a", "on-disk"), Choice::Wait);
-    let Choice::Refuse(refusal) = choose(&mut dispatcher, now, "b", "nowhere") else {
+    assert_eq!(
+        choose(&mut dispatcher, now, "a", "on-disk"),
+        RoutingDecision::Wait
+    );
+    let RoutingDecision::Refuse(refusal) = choose(&mut dispatcher, now, "b", "nowhere") else {
         panic!("nine seconds are too long");
     };
     assert_eq!(refusal.kind, RefusalKind::Overloaded);
     assert!(refusal.retry_after.unwrap() >= Duration::from_secs(9));
-    let Choice::Refuse(refusal) = choose(&mut dispatcher, now, "c", "unknown") else {
+    let RoutingDecision::Refuse(refusal) = choose(&mut dispatcher, now, "c", "unknown") else {
         panic!("no server can run it");
     };
     assert_eq!(refusal.kind, RefusalKind::Overloaded);
@@ -255,52 +268,52 @@
 fn leaving_and_removed_servers_get_nothing() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    let leaving = Entry {
-        leaving: true,
+    let leaving = BackendEntry {
+        draining: true,
         ..entry("one", &["held"])
     };
-    dispatcher.backends.note_entry(now, leaving);
-    dispatcher.backends.note_removed(now, "two", None);
+    dispatcher.backends.apply_entry(now, leaving);
+    dispatcher.backends.mark_removed(now, "two", None);
     for number in 0..4 {
         let choice = choose(&mut dispatcher, now, &number.to_string(), "held");
-        assert!(matches!(choice, Choice::Send(server, _) if &*server == "three"));
+        assert!(matches!(choice, RoutingDecision::Send(server, _) if &*server == "three"));
     }
     dispatcher
         .backends
-        .note_removed(now, "three", Some(Duration::from_secs(2)));
+        .mark_removed(now, "three", Some(Duration::from_secs(2)));
     let kept = choose(&mut dispatcher, now, "kept", "held");
     assert!(
-        matches!(kept, Choice::Send(..)),
+        matches!(kept, RoutingDecision::Send(..)),
         "its entry may come back after an outage"
     );
     let gone = now + Duration::from_secs(3);
-    dispatcher.freshness.note_current(gone);
+    dispatcher.freshness.record_read(gone);
     let choice = choose(&mut dispatcher, gone, "gone", "held");
-    assert!(matches!(choice, Choice::Refuse(_)));
+    assert!(matches!(choice, RoutingDecision::Refuse(_)));
 }
 
 #[test]
 fn look_ups_name_ready_instances_that_are_heard() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    let mut other = Dispatcher::new(InstanceFacts {
+    let mut other = Dispatcher::new(InstanceConfig {
         id: "10.0.0.2:7600".into(),
         address: "10.0.0.2:80".to_owned(),
         ..facts()
     });
     other.apply_catalog(catalog());
-    other.freshness.note_current(now);
+    other.freshness.record_read(now);
     let heartbeat = other.heartbeat(now);
-    assert!(dispatcher.note_heartbeat(now, &heartbeat));
+    assert!(dispatcher.apply_heartbeat(now, &heartbeat));
     assert!(
-        !dispatcher.note_heartbeat(now, &heartbeat),
+        !dispatcher.apply_heartbeat(now, &heartbeat),
         "a repeat changes nothing"
     );
-    assert_eq!(dispatcher.look_up(now).len(), 2);
-    dispatcher.leave();
-    assert_eq!(dispatcher.look_up(now), ["10.0.0.2:80"]);
+    assert_eq!(dispatcher.client_addresses(now).len(), 2);
+    dispatcher.start_draining();
+    assert_eq!(dispatcher.client_addresses(now), ["10.0.0.2:80"]);
     let silent = now + Duration::from_secs(2);
-    assert!(dispatcher.look_up(silent).is_empty());
+    assert!(dispatcher.client_addresses(silent).is_empty());
 }
 
 #[test]
@@ -313,22 +326,22 @@
         } else {
             Dispatcher::new(facts())
         };
-        other.facts.id = id.into();
-        other.facts.zone = zone.into();
+        other.config.id = id.into();
+        other.config.zone = zone.into();
         let heartbeat = other.heartbeat(now);
-        assert!(table.note_heartbeat(now, &heartbeat));
+        assert!(table.apply_heartbeat(now, &heartbeat));
     };
-    assert_eq!(own.feed_source(now), Source::Store);
+    assert_eq!(own.feed_source(now), FeedSource::Store);
     tell(&mut own, "10.0.0.0:7600", "b", true);
     tell(&mut own, "10.0.0.0:7601", "a", false);
     tell(&mut own, "10.0.0.2:7600", "a", true);
     // Neither another zone's instance nor one that isn't ready or comes later is asked.
-    assert_eq!(own.feed_source(now), Source::Store);
+    assert_eq!(own.feed_source(now), FeedSource::Store);
     tell(&mut own, "10.0.0.0:7602", "a", true);
-    let first = Source::Peer("10.0.0.0:7602".into());
+    let first = FeedSource::Peer("10.0.0.0:7602".into());
     assert_eq!(own.feed_source(now), first);
     // It fell silent; this instance is cut off from the store meanwhile.
     let later = now + Duration::from_secs(4);
     own.expire(later);
-    assert_eq!(own.feed_source(later), Source::Store);
+    assert_eq!(own.feed_source(later), FeedSource::Store);
 }
--- a/crates/apricotwell_dispatch/tests/engines/engines.rs
+++ b/crates/apricotwell_dispatch/tests/engines/engines.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::backends::{BackendTable, Entry};
+use apricotwell_dispatch::backends::{BackendEntry, BackendTable};
 use apricotwell_dispatch::catalog::{EngineSpec, ModelSpec, Service};
+use apricotwell_dispatch::inventory_updates::InventoryUpdates;
 use apricotwell_dispatch::model::Holdings;
-use apricotwell_dispatch::news::StockNews;
 use apricotwell_dispatch::orders::{Operation, OrderReply, Report};
 use apricotwell_dispatch::stock::{Order, StockPlanner};
 use apricotwell_messages::{ModelUse, ServerStock};
@@ -281,7 +281,7 @@
         for id in &ids {
             self.advance(id);
             let entry = self.entry(id);
-            self.table.note_entry(self.now, entry);
+            self.table.apply_entry(self.now, entry);
         }
         self.planner.follow(self.now, &self.table, &self.service);
         for id in self.planner.take_due_reports(self.now) {
@@ -303,8 +303,8 @@
     }
 
     /// Returns what the lease holder tells next.
-    pub(crate) fn news(&self, news: &mut StockNews) -> Vec<ServerStock> {
-        news.take(self.now, &self.planner, &self.table)
+    pub(crate) fn news(&self, news: &mut InventoryUpdates) -> Vec<ServerStock> {
+        news.take_batch(self.now, &self.planner, &self.table)
     }
 
     fn uses(&self) -> Vec<ModelUse> {
@@ -324,17 +324,17 @@
             .collect()
     }
 
-    fn entry(&self, id: &str) -> Entry {
+    fn entry(&self, id: &str) -> BackendEntry {
         let engine = &self.engines[id];
-        Entry {
+        BackendEntry {
             id: id.into(),
             service: self.service.name.clone(),
             address: "127.0.0.1:1".parse().unwrap(),
             zone: "zone".into(),
             slots: 64,
-            leaving: false,
+            draining: false,
             remaining: None,
-            born: engine.born,
+            started_ms: engine.born,
             holdings: engine.holdings(0),
         }
     }
@@ -493,11 +493,11 @@
 fn service(names: &[String], setup: Setup) -> Service {
     let spec = |name: &String| ModelSpec {
         name: name.as_str().into(),
-        weights: WEIGHTS,
+        weights_mb: WEIGHTS,
         store_load: STORE_LOAD,
         disk_load: DISK_LOAD,
         memory_load: MEMORY_LOAD,
-        adapter_weights: 66.0,
+        adapter_mb: 66.0,
         adapters: 60,
     };
     Service {
@@ -505,7 +505,7 @@
         max_connections: 370,
         engine: Some(EngineSpec {
             slots: 64,
-            weights: WEIGHTS * setup.places as f64 + 2_000.0,
+            memory_mb: WEIGHTS * setup.places as f64 + 2_000.0,
             adapter_slots: ADAPTER_SLOTS,
             loads_per_second: 2.1,
             kv_tokens: 130_000,
--- a/crates/apricotwell_dispatch/tests/freshness.rs
+++ b/crates/apricotwell_dispatch/tests/freshness.rs
@@ -20,7 +20,7 @@
 fn keys_stop_before_the_bound_and_callers_are_sent_away_before_that() {
     let now = Instant::now();
     let mut freshness = Freshness::new(REVOCATION);
-    freshness.note_current(now);
+    freshness.record_read(now);
     let cut = (0..5000).find(|ms| !freshness.is_usable(now + Duration::from_millis(*ms)));
     let unready = (0..5000).find(|ms| !freshness.is_ready(now + Duration::from_millis(*ms)));
     assert!(
@@ -34,8 +34,8 @@
 fn an_older_read_does_not_make_the_view_older() {
     let now = Instant::now();
     let mut freshness = Freshness::new(REVOCATION);
-    freshness.note_current(now + Duration::from_secs(1));
-    freshness.note_current(now);
+    freshness.record_read(now + Duration::from_secs(1));
+    freshness.record_read(now);
     assert_eq!(
         freshness.age(now + Duration::from_secs(1)),
         Some(Duration::ZERO)
--- a/crates/apricotwell_dispatch/tests/lease.rs
+++ b/crates/apricotwell_dispatch/tests/lease.rs
@@ -2,55 +2,61 @@
 
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::lease::{Lease, LeaseStep, LeaseTerms, Standing};
+use apricotwell_dispatch::lease::{ClaimStatus, Lease, LeaseAction, LeaseConfig};
 
-const TERMS: LeaseTerms = LeaseTerms {
+const TERMS: LeaseConfig = LeaseConfig {
     term: Duration::from_millis(1800),
-    pause: Duration::from_millis(3000),
-    renewal: Duration::from_millis(700),
+    handover_pause: Duration::from_millis(3000),
+    max_renewal_gap: Duration::from_millis(700),
     fenced: true,
 };
-const UNFENCED: LeaseTerms = LeaseTerms {
+const UNFENCED: LeaseConfig = LeaseConfig {
     fenced: false,
     ..TERMS
 };
 const RENEWAL: Duration = Duration::from_millis(500);
 
-fn renew(lease: &mut Lease, now: Instant, changed: bool) -> LeaseStep {
-    lease.note_try(now);
-    lease.note_renewal(now, changed)
+fn renew(lease: &mut Lease, now: Instant, changed: bool) -> LeaseAction {
+    lease.begin_renewal(now);
+    lease.complete_renewal(now, changed)
 }
 
-fn holder(terms: LeaseTerms, now: Instant) -> Lease {
+fn holder(terms: LeaseConfig, now: Instant) -> Lease {
     let mut lease = Lease::new(terms);
-    assert_eq!(renew(&mut lease, now, true), LeaseStep::Check);
+    assert_eq!(renew(&mut lease, now, true), LeaseAction::Check);
     assert_eq!(
-        lease.note_standing(Standing::Unclaimed, true),
-        LeaseStep::Claim
+        lease.apply_status(ClaimStatus::Unclaimed, true),
+        LeaseAction::Claim
     );
-    lease.note_claim(now, 1, Standing::Unclaimed);
+    lease.apply_claim(now, 1, ClaimStatus::Unclaimed);
     assert_eq!(lease.fence(now), Some(1));
     lease
 }
 
 #[test]
 fn only_the_candidate_claims_a_free_lease() {
-    for standing in [Standing::Unclaimed, Standing::Dropped] {
+    for standing in [ClaimStatus::Unclaimed, ClaimStatus::Dropped] {
         let mut lease = Lease::new(TERMS);
-        assert_eq!(lease.note_standing(standing, false), LeaseStep::Keep);
-        assert_eq!(lease.note_standing(standing, true), LeaseStep::Claim);
+        assert_eq!(lease.apply_status(standing, false), LeaseAction::Keep);
+        assert_eq!(lease.apply_status(standing, true), LeaseAction::Claim);
     }
     let mut lease = Lease::new(TERMS);
-    assert_eq!(lease.note_standing(Standing::Taken, true), LeaseStep::Keep);
+    assert_eq!(
+        lease.apply_status(ClaimStatus::Taken, true),
+        LeaseAction::Keep
+    );
 }
 
 #[test]
 fn a_restarted_holder_takes_its_lease_back_at_once() {
     let now = Instant::now();
     let mut lease = Lease::new(TERMS);
-    assert_eq!(lease.note_standing(Standing::Own, false), LeaseStep::Claim);
-    lease.note_renewal(now, true);
-    lease.note_claim(now, 5, Standing::Own);
+    assert_eq!(
+        lease.apply_status(ClaimStatus::Own, false),
+        LeaseAction::Claim
+    );
+    lease.complete_renewal(now, true);
+    lease.apply_claim(now, 5, ClaimStatus::Own);
     assert_eq!(lease.fence(now), Some(5));
 }
 
@@ -58,17 +64,17 @@
 fn a_successor_waits_for_the_pause_between_two_holders() {
     let now = Instant::now();
     for (terms, standing, least) in [
-        (UNFENCED, Standing::Dropped, TERMS.pause),
+        (UNFENCED, ClaimStatus::Dropped, TERMS.handover_pause),
         // The group drops a member after the term; its last order came at most one renewal later.
         (
             TERMS,
-            Standing::Dropped,
-            TERMS.pause + TERMS.renewal - TERMS.term,
+            ClaimStatus::Dropped,
+            TERMS.handover_pause + TERMS.max_renewal_gap - TERMS.term,
         ),
     ] {
         let mut lease = Lease::new(terms);
-        lease.note_renewal(now, true);
-        lease.note_claim(now, 2, standing);
+        lease.complete_renewal(now, true);
+        lease.apply_claim(now, 2, standing);
         let early = now + least - Duration::from_millis(1);
         keep_alive(&mut lease, now, early);
         assert_eq!(lease.fence(early), None, "{standing:?}");
@@ -80,7 +86,7 @@
 fn keep_alive(lease: &mut Lease, from: Instant, until: Instant) {
     let mut now = from;
     while now <= until {
-        assert_eq!(renew(lease, now, false), LeaseStep::Keep);
+        assert_eq!(renew(lease, now, false), LeaseAction::Keep);
         now += RENEWAL;
     }
 }
@@ -100,11 +106,11 @@
     let mut tried = now;
     while tried < now + Duration::from_secs(9) {
         tried += RENEWAL;
-        lease.note_try(tried);
+        lease.begin_renewal(tried);
     }
     assert_eq!(lease.fence(tried), Some(1));
     assert_eq!(lease.fence(now + Duration::from_secs(13)), None);
-    lease.note_other(2);
+    lease.observe_fence(2);
     assert_eq!(lease.fence(tried), None, "a successor orders");
 }
 
@@ -114,10 +120,13 @@
     let mut lease = holder(TERMS, now);
     let awake = now + Duration::from_secs(4);
     assert_eq!(lease.fence(awake), None, "before it has tried to renew");
-    lease.note_try(awake);
+    lease.begin_renewal(awake);
     assert_eq!(lease.fence(awake), None, "before the store has answered");
-    assert_eq!(lease.note_renewal(awake, true), LeaseStep::Check);
-    assert_eq!(lease.note_standing(Standing::Taken, true), LeaseStep::Keep);
+    assert_eq!(lease.complete_renewal(awake, true), LeaseAction::Check);
+    assert_eq!(
+        lease.apply_status(ClaimStatus::Taken, true),
+        LeaseAction::Keep
+    );
     assert_eq!(lease.fence(awake), None);
 }
 
@@ -127,14 +136,17 @@
     let mut lease = holder(TERMS, now);
     // Held up for longer than a renewal, but not so long that the group dropped it.
     let awake = now + Duration::from_millis(1750);
-    lease.note_try(awake);
+    lease.begin_renewal(awake);
     assert_eq!(lease.fence(awake), None);
-    assert_eq!(lease.note_renewal(awake, false), LeaseStep::Check);
-    assert_eq!(lease.note_standing(Standing::Own, false), LeaseStep::Claim);
-    lease.note_claim(awake, 2, Standing::Own);
+    assert_eq!(lease.complete_renewal(awake, false), LeaseAction::Check);
+    assert_eq!(
+        lease.apply_status(ClaimStatus::Own, false),
+        LeaseAction::Claim
+    );
+    lease.apply_claim(awake, 2, ClaimStatus::Own);
     assert_eq!(lease.fence(awake), Some(2));
     let next = awake + RENEWAL;
-    assert_eq!(renew(&mut lease, next, false), LeaseStep::Keep);
+    assert_eq!(renew(&mut lease, next, false), LeaseAction::Keep);
 }
 
 #[test]
@@ -144,13 +156,13 @@
     let mut tried = now;
     for _ in 0..5 {
         tried += RENEWAL;
-        lease.note_try(tried);
+        lease.begin_renewal(tried);
     }
-    assert_eq!(lease.note_renewal(tried, false), LeaseStep::Check);
+    assert_eq!(lease.complete_renewal(tried, false), LeaseAction::Check);
     let mut replaced = lease;
     assert_eq!(
-        replaced.note_standing(Standing::Taken, true),
-        LeaseStep::Stop
+        replaced.apply_status(ClaimStatus::Taken, true),
+        LeaseAction::Stop
     );
     assert_eq!(replaced.fence(tried), None);
 }
@@ -159,7 +171,7 @@
 fn a_refused_fence_ends_the_claim() {
     let now = Instant::now();
     let mut lease = holder(TERMS, now);
-    lease.note_fenced();
+    lease.on_fenced();
     assert_eq!(lease.fence(now), None);
     assert!(!lease.is_held(now));
 }
@@ -170,18 +182,18 @@
     let mut previous = holder(TERMS, now);
     let mut next = Lease::new(TERMS);
     let claimed = now + Duration::from_secs(2);
-    next.note_renewal(claimed, true);
-    next.note_claim(claimed, 2, Standing::Dropped);
+    next.complete_renewal(claimed, true);
+    next.apply_claim(claimed, 2, ClaimStatus::Dropped);
     let mut heard = None;
     let mut at = now;
     while at < claimed {
-        previous.note_try(at);
+        previous.begin_renewal(at);
         at += Duration::from_millis(500);
     }
     while next.fence(at).is_none() {
         keep_alive(&mut next, at, at);
         // The store does not answer the previous holder, which servers would still obey.
-        previous.note_try(at);
+        previous.begin_renewal(at);
         if let Some(fence) = next.announced_fence(at) {
             // The news takes a third of a second; the previous holder, cut off, goes on till then.
             heard.get_or_insert((at + Duration::from_millis(330), fence));
@@ -189,7 +201,7 @@
         if let Some((when, fence)) = heard
             && when <= at
         {
-            previous.note_other(fence);
+            previous.observe_fence(fence);
         }
         at += Duration::from_millis(20);
     }
--- a/crates/apricotwell_dispatch/tests/placing.rs
+++ b/crates/apricotwell_dispatch/tests/placing.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use apricotwell_dispatch::news::StockNews;
+use apricotwell_dispatch::inventory_updates::InventoryUpdates;
 use apricotwell_dispatch::orders::Operation;
 use apricotwell_messages::ServerStock;
 use engines::{Engines, Setup};
@@ -158,7 +158,7 @@
 fn a_new_holder_of_the_lease_does_not_tell_what_the_list_says() {
     let mut engines = Engines::new(large(), 1);
     engines.run(Duration::from_secs(3));
-    let mut news = StockNews::default();
+    let mut news = InventoryUpdates::default();
     for _ in 0..5 {
         let told = engines.news(&mut news);
         assert!(told.len() <= MOST_TOLD, "{} servers at once", told.len());
@@ -169,7 +169,7 @@
 fn a_load_is_told_at_once_and_more_than_once() {
     let mut engines = Engines::new(large(), 1);
     engines.run(Duration::from_secs(3));
-    let mut news = StockNews::default();
+    let mut news = InventoryUpdates::default();
     let model = engines.unheld_model();
     engines.wait_for(&model);
     let mut told = 0;
--- a/crates/apricotwell_dispatch/tests/quota.rs
+++ b/crates/apricotwell_dispatch/tests/quota.rs
@@ -25,7 +25,7 @@
         priority: None,
         rate,
         burst,
-        plain_tokens: 200,
+        default_tokens: 200,
     }
 }
 
--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -57,18 +57,18 @@
     /// # Errors
     ///
     /// Returns the refusal for the caller.
-    fn decode_call(head: &request::Parts) -> Result<Call, Refusal>;
+    fn decode_call(head: &request::Parts) -> Result<RequestHead, Refusal>;
 
     /// Returns the head and body for a server.
     fn encode_attempt(
         head: &request::Parts,
-        call: &Call,
+        call: &RequestHead,
         attempt: &Attempt<'_>,
         body: Bytes,
     ) -> Request<http_body_util::Full<Bytes>>;
 
     /// Reads the head of a server's answer to `call`.
-    fn decode_answer(head: &response::Parts, call: &Call) -> AnswerHead;
+    fn decode_answer(head: &response::Parts, call: &RequestHead) -> AnswerHead;
 
     /// Returns the headers of a server's answer that go on to the caller.
     fn relay_headers(headers: &HeaderMap) -> HeaderMap;
@@ -120,7 +120,7 @@
     /// Configuration.
     Catalog(Box<Catalog>),
     /// Entry of the list of servers.
-    Entry(Entry),
+    Entry(BackendEntry),
     /// A server left the list.
     Removed(ServerId),
     /// A record that can't be read; it means nothing.
--- a/crates/apricotwell_gateway/src/asking.rs
+++ b/crates/apricotwell_gateway/src/asking.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::feeds::{Feed, Told, decode_answer};
+use apricotwell_dispatch::feeds::{Feed, FeedUpdate, decode_answer};
 use apricotwell_messages::{Datagram, FeedAnswer, FeedQuery};
 use apricotwell_types::{InstanceId, Map, Offset};
 use prost::Message;
@@ -46,7 +46,7 @@
         peer: &InstanceId,
         (feed, from): (Feed, Offset),
         clock: C,
-    ) -> Option<Told>
+    ) -> Option<FeedUpdate>
     where
         C: Fn() -> Instant,
     {
--- a/crates/apricotwell_gateway/src/daemon.rs
+++ b/crates/apricotwell_gateway/src/daemon.rs
@@ -203,7 +203,7 @@
         });
     }
     if P::Callers::is_look_up(&head) {
-        let addresses = dispatcher.look_up(now);
+        let addresses = dispatcher.client_addresses(now);
         if addresses.is_empty() {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -244,8 +244,8 @@
     let mut event = Event::new("status")
         .with("ready", dispatcher.is_ready(now))
         .with("active", gateway.active.get())
-        .with("heard", dispatcher.peers.heard(now))
-        .with("possible", dispatcher.peers.possible())
+        .with("heard", dispatcher.peers.reporting_count(now))
+        .with("possible", dispatcher.peers.possible_count())
         .with("fence", dispatcher.lease.fence(now));
     for (kind, calls) in gateway.metrics.store_calls() {
         event = event.with(&format!("store_{kind}"), calls);
@@ -280,7 +280,7 @@
     Event::new("stopping")
         .with("active", gateway.active.get())
         .log();
-    gateway.dispatcher.borrow_mut().leave();
+    gateway.dispatcher.borrow_mut().start_draining();
     gateway.gossip.notify_one();
     let begun = Instant::now();
     let leaving = Rc::clone(gateway);
--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::feeds::Told;
+use apricotwell_dispatch::feeds::FeedUpdate;
 use apricotwell_dispatch::prelude::*;
 use apricotwell_types::{InstanceId, Offset};
 use tokio::net::UdpSocket;
@@ -43,7 +43,7 @@
         socket,
         feed,
         next: None,
-        source: Source::Store,
+        source: FeedSource::Store,
         failing_since: None,
         failures: 0,
         outage_end: None,
@@ -64,7 +64,7 @@
     // Offset from which to read; unknown before the newest records were read.
     next: Option<Offset>,
     // Where the last step looked.
-    source: Source,
+    source: FeedSource,
     failing_since: Option<Instant>,
     // Calls in a row that the store did not serve.
     failures: u32,
@@ -84,12 +84,12 @@
         let source = self.gateway.dispatcher.borrow().feed_source(now);
         self.note_source(&source);
         match (source, self.feed) {
-            (Source::Peer(peer), _) => match self.ask(&peer, from).await {
+            (FeedSource::Peer(peer), _) => match self.ask(&peer, from).await {
                 Some(pause) => pause,
                 None => self.read_store(Duration::ZERO).await.max(ASK_PAUSE),
             },
-            (Source::Store, Feed::Configuration) => self.read_store(CONFIGURATION_WAIT).await,
-            (Source::Store, Feed::Servers) => self.read_store(Duration::ZERO).await,
+            (FeedSource::Store, Feed::Configuration) => self.read_store(CONFIGURATION_WAIT).await,
+            (FeedSource::Store, Feed::Servers) => self.read_store(Duration::ZERO).await,
         }
     }
 
@@ -102,14 +102,14 @@
             .gateway
             .questions
             .ask(&self.socket, peer, question, clock);
-        let Told {
+        let FeedUpdate {
             changes,
             next,
-            current,
+            confirmed_at: current,
         } = asked.await?;
         let news = changes.into_iter().map(|change| match change {
-            ListChange::Entry(entry) => News::Entry(entry),
-            ListChange::Removed(id) => News::Removed(id),
+            ServerListChange::Entry(entry) => News::Entry(entry),
+            ServerListChange::Removed(id) => News::Removed(id),
         });
         let part = FeedPart {
             news: news.collect(),
@@ -178,7 +178,7 @@
                 .dispatcher
                 .borrow_mut()
                 .feeds
-                .start_from(part.next);
+                .reset_changes(part.next);
         }
         self.next = Some(part.next);
         let changed = !part.news.is_empty();
@@ -198,13 +198,15 @@
             return;
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.feeds.note_current(self.feed, part.next, current);
+        dispatcher
+            .feeds
+            .record_position(self.feed, part.next, current);
         if self.feed == Feed::Configuration {
-            dispatcher.freshness.note_current(current);
+            dispatcher.freshness.record_read(current);
         }
     }
 
-    fn note_source(&mut self, source: &Source) {
+    fn note_source(&mut self, source: &FeedSource) {
         if self.source != *source {
             self.source = source.clone();
             Event::new("feed_source")
@@ -229,11 +231,11 @@
             }
             News::Entry(entry) => {
                 log_entry(&dispatcher.backends, &entry);
-                if dispatcher.backends.is_news(&entry) {
-                    let change = ListChange::Entry(entry.clone());
-                    dispatcher.feeds.note_change(offset, &change);
+                if dispatcher.backends.is_changed(&entry) {
+                    let change = ServerListChange::Entry(entry.clone());
+                    dispatcher.feeds.record_change(offset, &change);
                 }
-                dispatcher.backends.note_entry(now, entry);
+                dispatcher.backends.apply_entry(now, entry);
             }
             News::Removed(id) => {
                 let keep = self.keep_time(now);
@@ -241,10 +243,10 @@
                     .with("server", &*id)
                     .with("kept_ms", keep.map(|keep| keep.as_millis() as u64))
                     .log();
-                dispatcher.backends.note_removed(now, &id, keep);
+                dispatcher.backends.mark_removed(now, &id, keep);
                 dispatcher.prompts.forget(&id);
-                let change = ListChange::Removed(id);
-                dispatcher.feeds.note_change(offset, &change);
+                let change = ServerListChange::Removed(id);
+                dispatcher.feeds.record_change(offset, &change);
             }
             News::Unreadable { key, reason } => Event::new("record_unreadable")
                 .with("key", key)
@@ -257,13 +259,13 @@
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let keep = self.keep_time(now);
-        for id in dispatcher.backends.listed() {
+        for id in dispatcher.backends.listed_ids() {
             let is_listed = part
                 .news
                 .iter()
                 .any(|news| matches!(news, News::Entry(entry) if entry.id == id));
             if !is_listed {
-                dispatcher.backends.note_removed(now, &id, keep);
+                dispatcher.backends.mark_removed(now, &id, keep);
             }
         }
     }
@@ -307,11 +309,11 @@
             .all(|(model, _)| other.adapters(model).is_some())
 }
 
-fn log_entry(known: &BackendTable, entry: &Entry) {
+fn log_entry(known: &BackendTable, entry: &BackendEntry) {
     let before = known.get(&entry.id).map(|server| &server.entry);
     let changed = before.is_none_or(|before| {
-        before.leaving != entry.leaving
-            || before.born != entry.born
+        before.draining != entry.draining
+            || before.started_ms != entry.started_ms
             || !same_models(&before.holdings, &entry.holdings)
     });
     if changed {
@@ -324,8 +326,8 @@
         Event::new("server")
             .with("server", &*entry.id)
             .with("service", &*entry.service)
-            .with("leaving", entry.leaving)
-            .with("born", entry.born)
+            .with("leaving", entry.draining)
+            .with("born", entry.started_ms)
             .with("orders", entry.holdings.orders)
             .with("models", models)
             .with("on_disk", entry.holdings.on_disk.len())
--- a/crates/apricotwell_gateway/src/fleet.rs
+++ b/crates/apricotwell_gateway/src/fleet.rs
@@ -24,7 +24,7 @@
 where
     P: Platform,
 {
-    let term = gateway.dispatcher.borrow().facts.lease.term;
+    let term = gateway.dispatcher.borrow().config.lease.term;
     let mut renewer = Renewer {
         member: gateway.listeners.peers.clone(),
         term,
@@ -74,7 +74,7 @@
     async fn renew(&mut self) -> Result<(), StoreError> {
         let gateway = Rc::clone(&self.gateway);
         let start = gateway.now();
-        gateway.dispatcher.borrow_mut().lease.note_try(start);
+        gateway.dispatcher.borrow_mut().lease.begin_renewal(start);
         let joined = gateway
             .store
             .join(&self.member, self.generation, self.term)
@@ -87,15 +87,15 @@
             self.checked.is_none() || (joined.leads && self.checked != Some(joined.generation));
         let step = {
             let mut dispatcher = gateway.dispatcher.borrow_mut();
-            dispatcher.peers.note_unchanged(now);
-            dispatcher.lease.note_renewal(start, changed)
+            dispatcher.peers.refresh_members(now);
+            dispatcher.lease.complete_renewal(start, changed)
         };
         if self.listed != Some(joined.generation) && self.may_list(now) {
             list_members(&gateway).await?;
             self.listed = Some(joined.generation);
             self.listed_at = Some(now);
         }
-        if step == LeaseStep::Check {
+        if step == LeaseAction::Check {
             self.check(joined.leads).await?;
             self.checked = Some(joined.generation);
         }
@@ -104,7 +104,7 @@
 
     // Members announce themselves by heartbeats; the list only makes good what was lost.
     fn may_list(&self, now: Instant) -> bool {
-        let members = self.gateway.dispatcher.borrow().peers.possible() as u32;
+        let members = self.gateway.dispatcher.borrow().peers.possible_count() as u32;
         let pause = LIST_PAUSE.max(LIST_PAUSE_PER_INSTANCE * members);
         self.listed_at
             .is_none_or(|at| now.saturating_duration_since(at) >= pause)
@@ -117,36 +117,36 @@
                 Some(claim) if claim.holder != self.member => {
                     let members = self.gateway.store.members().await?;
                     if members.contains(&claim.holder) {
-                        Standing::Taken
+                        ClaimStatus::Taken
                     } else {
-                        Standing::Dropped
+                        ClaimStatus::Dropped
                     }
                 }
-                Some(_) => Standing::Own,
-                None if last.end == 0 => Standing::Unclaimed,
+                Some(_) => ClaimStatus::Own,
+                None if last.end == 0 => ClaimStatus::Unclaimed,
                 // The record has expired: its writer may be any member.
-                None => Standing::Dropped,
+                None => ClaimStatus::Dropped,
             };
             let step = {
                 let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-                dispatcher.lease.note_standing(standing, candidate)
+                dispatcher.lease.apply_status(standing, candidate)
             };
             match step {
-                LeaseStep::Claim => match self.claim(last.end, standing).await {
+                LeaseAction::Claim => match self.claim(last.end, standing).await {
                     Err(StoreError::Moved) => {}
                     done => return done,
                 },
-                LeaseStep::Stop => {
+                LeaseAction::Stop => {
                     Event::new("lease_lost").log();
                     return Ok(());
                 }
-                LeaseStep::Keep | LeaseStep::Check => return Ok(()),
+                LeaseAction::Keep | LeaseAction::Check => return Ok(()),
             }
         }
         Err(StoreError::Moved)
     }
 
-    async fn claim(&self, at: Offset, standing: Standing) -> Result<(), StoreError> {
+    async fn claim(&self, at: Offset, standing: ClaimStatus) -> Result<(), StoreError> {
         let gateway = &self.gateway;
         let record = ClaimRecord {
             holder: self.member.clone(),
@@ -154,7 +154,7 @@
         let fence = gateway.store.append_claim(at, &record).await?;
         let now = gateway.now();
         let mut dispatcher = gateway.dispatcher.borrow_mut();
-        dispatcher.lease.note_claim(now, fence, standing);
+        dispatcher.lease.apply_claim(now, fence, standing);
         Event::new("lease_claimed")
             .with("fence", fence)
             .with("standing", format!("{standing:?}"))
@@ -177,7 +177,7 @@
         .filter(|member| *member != own)
         .map(|member| InstanceId::from(member.as_str()));
     let mut dispatcher = gateway.dispatcher.borrow_mut();
-    dispatcher.peers.note_members(now, others);
+    dispatcher.peers.apply_members(now, others);
     Ok(())
 }
 
--- a/crates/apricotwell_gateway/src/front.rs
+++ b/crates/apricotwell_gateway/src/front.rs
@@ -100,7 +100,7 @@
     gateway: &Rc<Gateway<P>>,
     head: &request::Parts,
     body: Incoming,
-    call: &Call,
+    call: &RequestHead,
 ) -> Result<(HeldBody, Admission), Refusal>
 where
     P: Platform,
@@ -115,11 +115,11 @@
         );
     }
     let limit = body_limit(gateway);
-    let body = read_body(head, body, limit, &gateway.bodies, call.deadline).await?;
+    let body = read_body(head, body, limit, &gateway.bodies, call.timeout).await?;
     let now = gateway.now();
     let mut dispatcher = gateway.dispatcher.borrow_mut();
     let admission = dispatcher.admit(now, call)?;
-    if dispatcher.is_tight(now, &admission) {
+    if dispatcher.is_near_limit(now, &admission) {
         gateway.gossip.notify_one();
     }
     Ok((body, admission))
@@ -131,7 +131,7 @@
 {
     let dispatcher = gateway.dispatcher.borrow();
     let catalog = dispatcher.catalog.as_ref();
-    catalog.map_or(CallerLimits::default().body_bytes, |catalog| {
+    catalog.map_or(ClientLimits::default().body_bytes, |catalog| {
         catalog.limits.body_bytes
     })
 }
@@ -289,14 +289,14 @@
     Served::Whole(P::Callers::encode_refusal(refusal))
 }
 
-fn log_refusal<P>(gateway: &Gateway<P>, call: &Call, refusal: &Refusal)
+fn log_refusal<P>(gateway: &Gateway<P>, call: &RequestHead, refusal: &Refusal)
 where
     P: Platform,
 {
     let dispatcher = gateway.dispatcher.borrow();
     let now = gateway.now();
     gateway.metrics.note_request(refusal.kind.code());
-    let wanted = call.wanted.as_ref();
+    let wanted = call.requested_model.as_ref();
     Event::new("request_refused")
         .with("request", call.attempt.as_str())
         .with("reason", refusal.kind.code())
--- a/crates/apricotwell_gateway/src/gateway.rs
+++ b/crates/apricotwell_gateway/src/gateway.rs
@@ -96,7 +96,7 @@
 {
     /// Returns an instance that knows nothing yet.
     pub fn new(
-        facts: InstanceFacts,
+        facts: InstanceConfig,
         listeners: Listeners,
         times: Times,
         pool: Rc<Pool>,
--- a/crates/apricotwell_gateway/src/guard.rs
+++ b/crates/apricotwell_gateway/src/guard.rs
@@ -57,7 +57,7 @@
     pub fn new(gateway: &Rc<Gateway<P>>, server: ServerId, tokens: f64) -> Self {
         let now = gateway.now();
         let mut dispatcher = gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_start(now, &server, tokens);
+        dispatcher.backends.begin_request(now, &server, tokens);
         drop(dispatcher);
         Self {
             gateway: Rc::clone(gateway),
@@ -69,7 +69,9 @@
     pub fn note_outcome(&self, failed: bool) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_outcome(now, &self.server, failed);
+        dispatcher
+            .backends
+            .record_outcome(now, &self.server, failed);
     }
 }
 
@@ -79,7 +81,7 @@
 {
     fn drop(&mut self) {
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_end(&self.server);
+        dispatcher.backends.end_request(&self.server);
         drop(dispatcher);
         self.gateway.changed.notify_waiters();
     }
@@ -102,13 +104,13 @@
 {
     /// Counts one request, `None` if it wants no model.
     pub fn new(gateway: &Rc<Gateway<P>>, admission: &Admission) -> Option<Self> {
-        let wanted = admission.wanted.clone()?;
+        let wanted = admission.requested_model.clone()?;
         let now = gateway.now();
         let wait = gateway.dispatcher.borrow_mut().demand.begin_wait(
             now,
             &admission.service,
             &wanted,
-            admission.silence,
+            admission.silence_deadline,
         );
         gateway.urging.notify_one();
         gateway.planning.notify_one();
--- a/crates/apricotwell_gateway/src/heartbeats.rs
+++ b/crates/apricotwell_gateway/src/heartbeats.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use apricotwell_dispatch::peers::heartbeat_pause;
+use apricotwell_dispatch::peers::heartbeat_interval;
 use apricotwell_dispatch::prelude::*;
 use apricotwell_messages::{Datagram, Heartbeat, StockTold};
 use apricotwell_types::InstanceId;
@@ -36,18 +36,18 @@
 where
     P: Platform,
 {
-    let mut news = StockNews::default();
+    let mut news = InventoryUpdates::default();
     let mut audience = Audience::Everyone;
     let mut turn = 0;
     let mut due = tokio::time::Instant::now();
     loop {
-        let instances = gateway.dispatcher.borrow().peers.possible() as u32;
+        let instances = gateway.dispatcher.borrow().peers.possible_count() as u32;
         if audience != Audience::Nobody {
             send_heartbeat(&gateway, &socket, audience).await;
         }
         if audience == Audience::Everyone {
             // The larger the fleet, the rarer the heartbeats: each instance's share stays the same.
-            due = tokio::time::Instant::now() + heartbeat_pause(instances);
+            due = tokio::time::Instant::now() + heartbeat_interval(instances);
         }
         if audience != Audience::LeaseHolder {
             tell_stock(&gateway, &socket, &mut news, turn).await;
@@ -70,7 +70,7 @@
 }
 
 // Waits until servers hold something else than the others were told.
-async fn next_restock<P>(gateway: &Gateway<P>, news: &StockNews)
+async fn next_restock<P>(gateway: &Gateway<P>, news: &InventoryUpdates)
 where
     P: Platform,
 {
@@ -78,7 +78,7 @@
         gateway.restocked.notified().await;
         let now = gateway.now();
         let dispatcher = gateway.dispatcher.borrow();
-        let (planner, list) = (&dispatcher.stock, &dispatcher.backends);
+        let (planner, list) = (&dispatcher.planner, &dispatcher.backends);
         if dispatcher.lease.fence(now).is_some() && news.has_change(now, planner, list) {
             return;
         }
@@ -86,8 +86,12 @@
 }
 
 // Tells what servers hold, if this instance holds the lease.
-async fn tell_stock<P>(gateway: &Gateway<P>, socket: &UdpSocket, news: &mut StockNews, turn: usize)
-where
+async fn tell_stock<P>(
+    gateway: &Gateway<P>,
+    socket: &UdpSocket,
+    news: &mut InventoryUpdates,
+    turn: usize,
+) where
     P: Platform,
 {
     let now = gateway.now();
@@ -99,10 +103,10 @@
         let told = StockTold {
             fence,
             relay: false,
-            servers: news.take(now, &dispatcher.stock, &dispatcher.backends),
+            servers: news.take_batch(now, &dispatcher.planner, &dispatcher.backends),
         };
-        dispatcher.note_stock(now, &told);
-        (told, dispatcher.stock_audience(now, turn))
+        dispatcher.apply_inventory(now, &told);
+        (told, dispatcher.inventory_recipients(now, turn))
     };
     if told.servers.is_empty() {
         return;
@@ -127,7 +131,7 @@
     let now = gateway.now();
     let targets = {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
-        dispatcher.note_stock(now, &told);
+        dispatcher.apply_inventory(now, &told);
         told.relay.then(|| dispatcher.zone_peers(now))
     };
     gateway.changed.notify_waiters();
@@ -165,11 +169,16 @@
         dispatcher.expire(now);
         let heartbeat = dispatcher.heartbeat(now);
         if audience == Audience::Everyone {
-            dispatcher.note_told(now);
+            dispatcher.on_spending_reported(now);
         }
         let demand = dispatcher.demand.uses(now);
         let holder = dispatcher.peers.lease_holder(now);
-        (heartbeat, demand, holder, dispatcher.peers.targets())
+        (
+            heartbeat,
+            demand,
+            holder,
+            dispatcher.peers.heartbeat_targets(),
+        )
     };
     let with_demand = Heartbeat {
         models: demand,
@@ -241,7 +250,7 @@
     let newer = gateway
         .dispatcher
         .borrow_mut()
-        .note_heartbeat(now, heartbeat);
+        .apply_heartbeat(now, heartbeat);
     if !newer {
         return;
     }
--- a/crates/apricotwell_gateway/src/placing.rs
+++ b/crates/apricotwell_gateway/src/placing.rs
@@ -26,7 +26,7 @@
         announce(&gateway, &mut announced);
         step(&gateway);
         tokio::time::sleep(LEAST_PAUSE).await;
-        let due = gateway.dispatcher.borrow().stock.next_due(gateway.now());
+        let due = gateway.dispatcher.borrow().planner.next_due(gateway.now());
         let pause = due.map_or(PLAN_PAUSE, |due| due.min(PLAN_PAUSE));
         // Without a change the plan is looked at again after the pause.
         let _ = tokio::time::timeout(pause, gateway.planning.notified()).await;
@@ -59,7 +59,7 @@
     let mut dispatcher = gateway.dispatcher.borrow_mut();
     let Some(fence) = dispatcher.lease.fence(now) else {
         // What servers hold is asked anew when the lease opens: until then another orders them.
-        dispatcher.stock.reset();
+        dispatcher.planner.reset();
         return;
     };
     let (orders, reports) = dispatcher.plan(now);
@@ -91,7 +91,7 @@
     gateway
         .dispatcher
         .borrow_mut()
-        .stock
+        .planner
         .note_report(now, &server, report);
     gateway.planning.notify_one();
     gateway.restocked.notify_one();
@@ -108,7 +108,7 @@
         let backend = dispatcher.backends.get(&order.server);
         backend
             .filter(|_| valid)
-            .map(|server| (server.entry.address, dispatcher.facts.id.clone()))
+            .map(|server| (server.entry.address, dispatcher.config.id.clone()))
     };
     let reply = match target {
         Some((address, holder)) => gateway.engines.order(address, &order, &holder, fence).await,
@@ -130,9 +130,9 @@
     {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
         if reply == OrderReply::Fenced {
-            dispatcher.lease.note_fenced();
+            dispatcher.lease.on_fenced();
         }
-        dispatcher.stock.note_reply(now, &order.server, reply);
+        dispatcher.planner.note_reply(now, &order.server, reply);
     }
     gateway.planning.notify_one();
     gateway.restocked.notify_one();
--- a/crates/apricotwell_gateway/src/spending.rs
+++ b/crates/apricotwell_gateway/src/spending.rs
@@ -26,14 +26,14 @@
 where
     P: Platform,
 {
-    if !gateway.dispatcher.borrow().facts.first_start {
+    if !gateway.dispatcher.borrow().config.first_start {
         restore(&gateway).await;
     }
     let mut pauses = 0;
     loop {
         tokio::time::sleep(TIGHT_PAUSE).await;
         pauses += 1;
-        if pauses < CALM_PAUSES && !gateway.dispatcher.borrow().is_any_tight() {
+        if pauses < CALM_PAUSES && !gateway.dispatcher.borrow().is_any_near_limit() {
             continue;
         }
         pauses = 0;
--- a/crates/apricotwell_gateway/src/ticket.rs
+++ b/crates/apricotwell_gateway/src/ticket.rs
@@ -37,7 +37,7 @@
     /// Body as it came.
     pub body: HeldBody,
     /// Head decoded.
-    pub call: Call,
+    pub call: RequestHead,
     /// Decision to take it.
     pub admission: Admission,
     /// Servers that are not to be tried again.
@@ -80,7 +80,7 @@
         gateway: &Rc<Gateway<P>>,
         head: request::Parts,
         body: HeldBody,
-        call: Call,
+        call: RequestHead,
         admission: Admission,
     ) -> Self {
         Self {
@@ -108,8 +108,9 @@
 
     /// Counts the caller's patience from now on, after bytes of the answer have reached it.
     pub fn renew_patience(&mut self) {
-        let patience = self.admission.route.patience();
-        self.admission.silence = (self.gateway.now() + patience).min(self.admission.deadline);
+        let patience = self.admission.route.silence_timeout();
+        self.admission.silence_deadline =
+            (self.gateway.now() + patience).min(self.admission.deadline);
     }
 
     /// Finds a server and gets its answer's head.
@@ -175,13 +176,14 @@
         let mut tried = self.tried.clone();
         tried.push(server.clone());
         let dispatcher = self.gateway.dispatcher.borrow();
-        let choice = dispatcher.choose(self.gateway.now(), &self.admission, &self.call, &tried);
-        matches!(choice, Choice::Send(..))
+        let choice =
+            dispatcher.select_server(self.gateway.now(), &self.admission, &self.call, &tried);
+        matches!(choice, RoutingDecision::Send(..))
     }
 
     fn after_rejection(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
         // A server that lacked the model may have it a moment later.
-        if reason == UNSENT || self.admission.wanted.is_none() {
+        if reason == UNSENT || self.admission.requested_model.is_none() {
             self.tried.push(server.clone());
         }
         self.rejections += 1;
@@ -230,18 +232,18 @@
             let now = self.gateway.now();
             let choice = {
                 let dispatcher = self.gateway.dispatcher.borrow();
-                dispatcher.choose(now, &self.admission, &self.call, &self.tried)
+                dispatcher.select_server(now, &self.admission, &self.call, &self.tried)
             };
             match choice {
-                Choice::Send(server, address) => {
+                RoutingDecision::Send(server, address) => {
                     self.found = Some(now);
                     return Ok((server, address));
                 }
-                Choice::Refuse(refusal) if self.runs == 0 => return Err(refusal),
-                Choice::Refuse(refusal) => {
+                RoutingDecision::Refuse(refusal) if self.runs == 0 => return Err(refusal),
+                RoutingDecision::Refuse(refusal) => {
                     return Err(self.refuse(refusal.kind, &refusal.message));
                 }
-                Choice::Wait => {}
+                RoutingDecision::Wait => {}
             }
             if self.must_leave() {
                 let text = "this instance stops; use another one";
@@ -251,7 +253,10 @@
                 waiting = WaitGuard::new(&self.gateway, &self.admission);
                 self.log_wait();
             }
-            let left = self.admission.silence.saturating_duration_since(now);
+            let left = self
+                .admission
+                .silence_deadline
+                .saturating_duration_since(now);
             // A change may not be told, so the end of the wait is looked for as well.
             let _ = tokio::time::timeout(left.min(LOOK_INTERVAL), changed).await;
         }
@@ -291,7 +296,7 @@
 
     // Returns the tokens that the server has to read.
     fn note_prompt(&self, server: &ServerId) -> f64 {
-        let Some(wanted) = &self.admission.wanted else {
+        let Some(wanted) = &self.admission.requested_model else {
             return 0.0;
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
@@ -341,12 +346,12 @@
     }
 
     fn note_denied(&self, server: &ServerId) {
-        let Some(wanted) = &self.admission.wanted else {
+        let Some(wanted) = &self.admission.requested_model else {
             return;
         };
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_denied(now, server, wanted);
+        dispatcher.backends.record_rejection(now, server, wanted);
     }
 
     // Time for the head of an answer: shorter than the deadline where another server may do better.
@@ -367,7 +372,7 @@
             let mut servers = dispatcher.backends.usable(now, &self.admission.service);
             servers
                 .by_ref()
-                .filter(|server| server.serves(now, self.admission.wanted.as_ref()))
+                .filter(|server| server.serves(now, self.admission.requested_model.as_ref()))
                 .count()
                 > self.tried.len() + 1
         };
@@ -394,7 +399,9 @@
 
     fn silence_left(&self) -> Duration {
         let now = self.gateway.now();
-        self.admission.silence.saturating_duration_since(now)
+        self.admission
+            .silence_deadline
+            .saturating_duration_since(now)
     }
 
     fn log_attempt(&self, server: &ServerId, outcome: &str, reason: &str) {
@@ -429,7 +436,7 @@
     }
 
     fn model_name(&self) -> &str {
-        let wanted = self.admission.wanted.as_ref();
+        let wanted = self.admission.requested_model.as_ref();
         wanted.map_or("", |wanted| &*wanted.model)
     }
 
--- a/crates/apricotwell_gateway/tests/asking.rs
+++ b/crates/apricotwell_gateway/tests/asking.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::feeds::{Feed, Told};
+use apricotwell_dispatch::feeds::{Feed, FeedUpdate};
 use apricotwell_gateway::asking::Questions;
 use apricotwell_messages::{Datagram, FeedAnswer};
 use apricotwell_types::InstanceId;
@@ -34,7 +34,7 @@
     }
 }
 
-async fn ask(questions: &Questions, socket: &UdpSocket, peer: &UdpSocket) -> Option<Told> {
+async fn ask(questions: &Questions, socket: &UdpSocket, peer: &UdpSocket) -> Option<FeedUpdate> {
     let peer: InstanceId = peer.local_addr().unwrap().to_string().as_str().into();
     let question = (Feed::Configuration, 7);
     questions.ask(socket, &peer, question, Instant::now).await
@@ -74,7 +74,7 @@
             received
         };
         let (told, received) = tokio::join!(ask(&questions, &socket, &peer), reply);
-        let current = told.unwrap().current.unwrap();
+        let current = told.unwrap().confirmed_at.unwrap();
         assert!(current + Duration::from_millis(100) <= received);
     });
 }
