--- a/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
@@ -50,7 +50,7 @@
 
     /// Notes that all other instances are told what is spent here.
     pub fn on_spending_reported(&mut self, now: Instant) {
-        self.quotas.note_told(now);
+        self.quotas.mark_reported(now);
     }
 
     /// Applies another instance's heartbeat.
@@ -117,7 +117,7 @@
             let (spent, fleet) = spending.get(&**name).copied().unwrap_or_default();
             let incarnation = heartbeat.incarnation;
             self.quotas
-                .note_spending(now, instance, incarnation, organisation, spent, fleet);
+                .apply_spending(now, instance, incarnation, organisation, spent, fleet);
         }
     }
 }
--- a/crates/apricotwell_dispatch/src/dispatcher/selection.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/selection.rs
@@ -9,7 +9,7 @@
 };
 use crate::backends::Backend;
 use crate::catalog::Service;
-use crate::model::Wanted;
+use crate::model::RequestedModel;
 use crate::request::RequestHead;
 
 /// Delay that a request in another zone is taken to add, in ms: bytes between zones cost as much.
@@ -112,7 +112,7 @@
             return delay + PLAIN_REQUEST_MS * in_flight;
         };
         let id = &server.entry.id;
-        let unread = self.prompts.tokens_to_read(id, wanted, &call.prompt);
+        let unread = self.prompts.uncached_tokens(id, wanted, &call.prompt);
         let tokens = unread + server.recent_tokens(now);
         delay + ENGINE_REQUEST_MS * in_flight + tokens / READ_TOKENS_PER_MS
     }
@@ -122,7 +122,7 @@
         &self,
         now: Instant,
         admission: &Admission,
-        wanted: &Wanted,
+        wanted: &RequestedModel,
         usable: &[&Backend],
     ) -> RoutingDecision {
         let service = self
@@ -148,7 +148,7 @@
 fn expected_load(
     now: Instant,
     service: &Service,
-    wanted: &Wanted,
+    wanted: &RequestedModel,
     usable: &[&Backend],
 ) -> Option<Duration> {
     let spec = service.engine.as_ref()?.model(&wanted.model)?;
--- a/crates/apricotwell_dispatch/src/lib.rs
+++ b/crates/apricotwell_dispatch/src/lib.rs
@@ -29,11 +29,11 @@
 pub mod model;
 pub mod orders;
 pub mod peers;
-pub mod prompts;
+pub mod placement;
+pub mod prompt_cache;
 pub mod quota;
 pub mod request;
 pub mod retries;
-pub mod stock;
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
@@ -47,8 +47,8 @@
     pub use crate::freshness::Freshness;
     pub use crate::inventory_updates::InventoryUpdates;
     pub use crate::lease::{ClaimStatus, Lease, LeaseAction, LeaseConfig};
-    pub use crate::model::{AdapterName, Holdings, ModelName, Wanted};
-    pub use crate::orders::{Operation, OrderReply, Report};
+    pub use crate::model::{AdapterName, Holdings, ModelName, RequestedModel};
+    pub use crate::orders::{Operation, OrderReply, StatusReport};
     pub use crate::quota::QuotaBounds;
     pub use crate::request::{AttemptId, PromptSegment, RequestHead};
     pub use crate::retries::RetryBounds;
--- a/crates/apricotwell_dispatch/tests/dispatcher.rs
+++ b/crates/apricotwell_dispatch/tests/dispatcher.rs
@@ -116,7 +116,7 @@
         path: "/draft/x".to_owned(),
         key: Some(KeyDigest::of_secret("key")),
         timeout: None,
-        requested_model: Some(Wanted {
+        requested_model: Some(RequestedModel {
             model: model.into(),
             adapter: None,
         }),
--- a/crates/apricotwell_gateway/src/guard.rs
+++ b/crates/apricotwell_gateway/src/guard.rs
@@ -94,7 +94,7 @@
 {
     gateway: Rc<Gateway<P>>,
     service: ServiceId,
-    wanted: Wanted,
+    wanted: RequestedModel,
     wait: u64,
 }
 
--- a/crates/apricotwell_gateway/src/heartbeats.rs
+++ b/crates/apricotwell_gateway/src/heartbeats.rs
@@ -171,7 +171,7 @@
         if audience == Audience::Everyone {
             dispatcher.on_spending_reported(now);
         }
-        let demand = dispatcher.demand.uses(now);
+        let demand = dispatcher.demand.model_uses(now);
         let holder = dispatcher.peers.lease_holder(now);
         (
             heartbeat,
--- a/crates/apricotwell_gateway/src/ticket.rs
+++ b/crates/apricotwell_gateway/src/ticket.rs
@@ -7,7 +7,7 @@
 use apricotwell_types::{Ending, Refusal, RefusalKind, ServerId};
 use http::request;
 
-use crate::adapter::{Attempt, Callers, Platform};
+use crate::adapter::{Attempt, ClientProtocol, Platform};
 use crate::events::Event;
 use crate::front::HeldBody;
 use crate::gateway::Gateway;
@@ -282,8 +282,12 @@
             priority: None,
             last_event,
         };
-        let request =
-            P::Callers::encode_attempt(&self.head, &self.call, &attempt, self.body.bytes.clone());
+        let request = P::ClientProtocol::encode_attempt(
+            &self.head,
+            &self.call,
+            &attempt,
+            self.body.bytes.clone(),
+        );
         let reuse = if self.admission.route.kind.is_repeatable() {
             Reuse::Any
         } else {
@@ -301,8 +305,8 @@
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let prompts = &mut dispatcher.prompts;
-        let tokens = prompts.tokens_to_read(server, wanted, &self.call.prompt);
-        prompts.note_sent(server, wanted, &self.call.prompt);
+        let tokens = prompts.uncached_tokens(server, wanted, &self.call.prompt);
+        prompts.record_sent(server, wanted, &self.call.prompt);
         tokens
     }
 
@@ -328,7 +332,7 @@
                 return Sent::Lost("no answer in time".to_owned());
             }
         };
-        let head = P::Callers::decode_answer(&answer.head, &self.call);
+        let head = P::ClientProtocol::decode_response(&answer.head, &self.call);
         if head.misdirected {
             self.note_denied(&flight.server);
             return Sent::NotRun("misdirected".to_owned());
@@ -338,7 +342,7 @@
             return Sent::NotRun("turned away".to_owned());
         }
         self.runs += 1;
-        if !head.matches || (answer.head.status.is_success() && !head.genuine) {
+        if !head.matches_attempt || (answer.head.status.is_success() && !head.is_sealed) {
             flight.note_outcome(true);
             return Sent::Lost("the answer belongs to another request".to_owned());
         }
