--- a/crates/apricotwell_dispatch/src/placement/loading.rs
+++ b/crates/apricotwell_dispatch/src/placement/loading.rs
@@ -188,7 +188,7 @@
         let server = self.servers.get(id)?;
         let holdings = server.holdings()?;
         let free = free_memory(plan.engine, holdings);
-        if free >= spec.weights {
+        if free >= spec.weights_mb {
             return Some(Eviction {
                 victim: None,
                 time: Duration::ZERO,
--- a/crates/apricotwell_dispatch/src/prompt_cache.rs
+++ b/crates/apricotwell_dispatch/src/prompt_cache.rs
@@ -4,8 +4,8 @@
 
 use apricotwell_types::{Map, ServerId};
 
-use crate::call::PromptPart;
 use crate::model::RequestedModel;
+use crate::request::PromptSegment;
 
 /// Number of prompt parts tracked per server.
 const PARTS_PER_SERVER: usize = 512;
@@ -28,7 +28,7 @@
         &mut self,
         server: &ServerId,
         requested: &RequestedModel,
-        prompt: &[PromptPart],
+        prompt: &[PromptSegment],
     ) {
         let entry = self.servers.entry(server.clone()).or_default();
         for part in prompt {
@@ -51,7 +51,7 @@
         &self,
         server: &str,
         requested: &RequestedModel,
-        prompt: &[PromptPart],
+        prompt: &[PromptSegment],
     ) -> f64 {
         let total: u64 = prompt.iter().map(|part| part.tokens).sum();
         let Some(entry) = self.servers.get(server) else {
--- a/crates/apricotwell_dispatch/tests/placing.rs
+++ b/crates/apricotwell_dispatch/tests/placing.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use apricotwell_dispatch::news::StockNews;
+use apricotwell_dispatch::inventory_updates::InventoryUpdates;
 use apricotwell_dispatch::orders::Operation;
 use apricotwell_messages::ServerStock;
 use engines::{Engines, Setup};
@@ -161,7 +161,7 @@
 fn a_new_lease_holder_does_not_broadcast_what_the_list_says() {
     let mut engines = Engines::new(large(), 1);
     engines.run(Duration::from_secs(3));
-    let mut news = StockNews::default();
+    let mut news = InventoryUpdates::default();
     for _ in 0..5 {
         let sent = engines.next_broadcast(&mut news);
         assert!(
@@ -176,7 +176,7 @@
 fn a_load_is_broadcast_at_once_and_repeatedly() {
     let mut engines = Engines::new(large(), 1);
     engines.run(Duration::from_secs(3));
-    let mut news = StockNews::default();
+    let mut news = InventoryUpdates::default();
     let model = engines.unheld_model();
     engines.wait_for(&model);
     let mut sent = 0;
