--- a/crates/apricotwell_dispatch/src/backends.rs
+++ b/crates/apricotwell_dispatch/src/backends.rs
@@ -7,7 +7,7 @@
 use apricotwell_types::{Fence, InstanceId, Map, ServerId, ZoneId};
 
 use crate::catalog::ServiceId;
-use crate::model::{Holdings, ModelName, RequestedModel};
+use crate::model::{Inventory, ModelName, RequestedModel};
 
 /// Share of a new outcome in a server's failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
@@ -40,7 +40,7 @@
     /// Start of its process, in milliseconds since the epoch.
     pub started_ms: u64,
     /// What it holds.
-    pub holdings: Holdings,
+    pub inventory: Inventory,
 }
 
 /// Load that is under way on a server.
@@ -58,7 +58,7 @@
     /// Newest entry.
     pub entry: BackendEntry,
     /// What it holds, from the newer of the entry and the lease holder's word.
-    pub holdings: Holdings,
+    pub inventory: Inventory,
     /// Load under way.
     pub loading: Option<Loading>,
     /// Requests of this instance in flight.
@@ -81,7 +81,7 @@
 impl Backend {
     fn new(now: Instant, entry: BackendEntry) -> Self {
         Self {
-            holdings: entry.holdings.clone(),
+            inventory: entry.inventory.clone(),
             entry,
             loading: None,
             own_requests: 0,
@@ -127,7 +127,7 @@
         let denied = self.denied.as_ref().is_some_and(|(denied, at)| {
             denied == wanted && now.saturating_duration_since(*at) < DENIAL_LIFETIME
         });
-        !denied && self.holdings.serves(wanted)
+        !denied && self.inventory.serves(wanted)
     }
 }
 
@@ -177,11 +177,11 @@
             .told
             .is_some_and(|told| now.saturating_duration_since(told) < STOCK_LIFETIME);
         if !told {
-            server.holdings = entry.holdings.clone();
+            server.inventory = entry.inventory.clone();
             server.loading = None;
         } else {
-            server.holdings.in_memory = entry.holdings.in_memory.clone();
-            server.holdings.on_disk = entry.holdings.on_disk.clone();
+            server.inventory.in_memory = entry.inventory.in_memory.clone();
+            server.inventory.on_disk = entry.inventory.on_disk.clone();
         }
         server.entry = entry;
     }
@@ -211,7 +211,7 @@
             if server.told.is_some_and(is_old) {
                 server.told = None;
                 server.loading = None;
-                server.holdings = server.entry.holdings.clone();
+                server.inventory = server.entry.inventory.clone();
             }
         }
     }
@@ -232,8 +232,8 @@
         }
         server.fence = fence;
         server.told = Some(now);
-        server.holdings.orders = stock.orders;
-        server.holdings.models = stock
+        server.inventory.orders = stock.orders;
+        server.inventory.models = stock
             .models
             .iter()
             .map(|held| {
--- a/crates/apricotwell_dispatch/src/dispatcher/selection.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/selection.rs
@@ -154,7 +154,7 @@
     let spec = service.engine.as_ref()?.model(&wanted.model)?;
     let held = usable
         .iter()
-        .any(|server| server.holdings.adapters(&wanted.model).is_some());
+        .any(|server| server.inventory.adapters(&wanted.model).is_some());
     if held {
         // Only the adapter is missing, or the server just denied the model.
         return Some(LOAD_OVERHEAD);
@@ -170,11 +170,11 @@
         let busy = server.loading.as_ref().map_or(Duration::ZERO, |loading| {
             loading.ends_at.saturating_duration_since(now)
         });
-        let holdings = &server.holdings;
-        if holdings.in_memory.contains(&wanted.model) {
+        let inventory = &server.inventory;
+        if inventory.in_memory.contains(&wanted.model) {
             return Some(busy + spec.memory_load);
         }
-        let on_disk = holdings.on_disk.contains(&wanted.model);
+        let on_disk = inventory.on_disk.contains(&wanted.model);
         on_disk.then_some(busy + spec.disk_load)
     });
     Some(cached.min().unwrap_or(spec.store_load).min(spec.store_load) + LOAD_OVERHEAD)
--- a/crates/apricotwell_dispatch/src/feeds.rs
+++ b/crates/apricotwell_dispatch/src/feeds.rs
@@ -13,7 +13,7 @@
 use apricotwell_types::{InstanceId, Offset, ServerId};
 
 use crate::backends::BackendEntry;
-use crate::model::{Holdings, ModelName};
+use crate::model::{Inventory, ModelName};
 
 /// Changes of the list of servers that are kept for other instances.
 const MAX_CHANGES: usize = 4096;
@@ -189,7 +189,7 @@
 fn encode_entry(entry: &BackendEntry) -> ServerListed {
     let names = |names: &[ModelName]| names.iter().map(ToString::to_string).collect();
     let held = entry
-        .holdings
+        .inventory
         .models
         .iter()
         .map(|(model, adapters)| ModelHeld {
@@ -206,10 +206,10 @@
             .remaining
             .map(|left| u32::try_from(left.as_millis()).unwrap_or(u32::MAX)),
         born: entry.started_ms,
-        orders: entry.holdings.orders,
+        orders: entry.inventory.orders,
         models: held.collect(),
-        in_memory: names(&entry.holdings.in_memory),
-        on_disk: names(&entry.holdings.on_disk),
+        in_memory: names(&entry.inventory.in_memory),
+        on_disk: names(&entry.inventory.on_disk),
     }
 }
 
@@ -232,7 +232,7 @@
             .remaining
             .map(|left| Duration::from_millis(u64::from(left))),
         started_ms: listed.born,
-        holdings: Holdings {
+        inventory: Inventory {
             orders: listed.orders,
             models: models
                 .map(|held| (held.model.as_str().into(), names(&held.adapters)))
--- a/crates/apricotwell_dispatch/src/inventory_updates.rs
+++ b/crates/apricotwell_dispatch/src/inventory_updates.rs
@@ -7,7 +7,7 @@
 use apricotwell_types::ServerId;
 
 use crate::backends::BackendTable;
-use crate::model::Holdings;
+use crate::model::Inventory;
 use crate::orders::ServerOrders;
 use crate::placement::PlacementPlanner;
 
@@ -86,7 +86,7 @@
             Some(told) => told.models == stock.models && told.loading == stock.loading,
             // A new holder of the lease has told nothing: only what the list lacks is news.
             None => list.get(id).is_some_and(|server| {
-                stock.loading.is_empty() && held(&server.entry.holdings) == stock.models
+                stock.loading.is_empty() && held(&server.entry.inventory) == stock.models
             }),
         }
     }
@@ -102,13 +102,13 @@
 }
 
 fn stock_of(now: Instant, id: &ServerId, server: &ServerOrders) -> Option<ServerStock> {
-    let holdings = server.servable(now)?;
+    let inventory = server.servable(now)?;
     let loading = server.loading();
     Some(ServerStock {
         server: id.to_string(),
-        born: server.born(),
-        orders: holdings.orders,
-        models: held(&holdings),
+        born: server.started_ms(),
+        orders: inventory.orders,
+        models: held(&inventory),
         loading: loading
             .map(|(model, _)| model.to_string())
             .unwrap_or_default(),
@@ -118,8 +118,8 @@
     })
 }
 
-fn held(holdings: &Holdings) -> Vec<ModelHeld> {
-    let models = holdings.models.iter();
+fn held(inventory: &Inventory) -> Vec<ModelHeld> {
+    let models = inventory.models.iter();
     models
         .map(|(model, adapters)| ModelHeld {
             model: model.to_string(),
--- a/crates/apricotwell_dispatch/src/lib.rs
+++ b/crates/apricotwell_dispatch/src/lib.rs
@@ -47,7 +47,7 @@
     pub use crate::freshness::Freshness;
     pub use crate::inventory_updates::InventoryUpdates;
     pub use crate::lease::{ClaimStatus, Lease, LeaseAction, LeaseConfig};
-    pub use crate::model::{AdapterName, Holdings, ModelName, RequestedModel};
+    pub use crate::model::{AdapterName, Inventory, ModelName, RequestedModel};
     pub use crate::orders::{Operation, OrderReply, StatusReport};
     pub use crate::quota::QuotaBounds;
     pub use crate::request::{AttemptId, PromptSegment, RequestHead};
--- a/crates/apricotwell_dispatch/src/model.rs
+++ b/crates/apricotwell_dispatch/src/model.rs
@@ -18,7 +18,7 @@
 
 /// Models that a server holds and weights that it can load without the weight store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Holdings {
+pub struct Inventory {
     /// Number of orders that the server had accepted in this state, 0 if unknown.
     pub orders: u64,
     /// Models that it can run, with their adapters.
@@ -29,7 +29,7 @@
     pub on_disk: Vec<ModelName>,
 }
 
-impl Holdings {
+impl Inventory {
     /// Returns the loaded adapters of a model, `None` if the model isn't loaded.
     pub fn adapters(&self, model: &str) -> Option<&[AdapterName]> {
         self.models
--- a/crates/apricotwell_dispatch/src/orders.rs
+++ b/crates/apricotwell_dispatch/src/orders.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::model::{AdapterName, Holdings, ModelName};
+use crate::model::{AdapterName, Inventory, ModelName};
 
 /// Delay between a failed or unanswered order and the status request that follows it: reports lag by
 /// some hundred milliseconds.
@@ -94,7 +94,7 @@
     /// Whether an order is in progress.
     pub busy: bool,
     /// Models and adapters that the server holds.
-    pub holdings: Holdings,
+    pub inventory: Inventory,
     /// Adapters that are being loaded; each already occupies a slot.
     pub incoming: Vec<(ModelName, AdapterName)>,
 }
@@ -113,12 +113,12 @@
 ///
 /// # Invariants
 ///
-/// At most one order is pending. `holdings` covers only what the server certainly holds: a pending
+/// At most one order is pending. `inventory` covers only what the server certainly holds: a pending
 /// load needs additional memory, and an unload frees none before the server has accepted it.
 #[derive(Clone, Debug)]
 pub struct ServerOrders {
-    born: u64,
-    holdings: Option<Holdings>,
+    started_ms: u64,
+    inventory: Option<Inventory>,
     pending: Option<Pending>,
     // End of the pause after an unload, in which no order is given.
     paused_until: Option<Instant>,
@@ -138,10 +138,10 @@
 
 impl ServerOrders {
     /// Returns the state of a server that has not reported yet; its first report is due at once.
-    pub fn new(now: Instant, born: u64) -> Self {
+    pub fn new(now: Instant, started_ms: u64) -> Self {
         Self {
-            born,
-            holdings: None,
+            started_ms,
+            inventory: None,
             pending: None,
             paused_until: None,
             unloaded_at: None,
@@ -154,38 +154,38 @@
     }
 
     /// Returns the start number of the server's process.
-    pub fn born(&self) -> u64 {
-        self.born
+    pub fn started_ms(&self) -> u64 {
+        self.started_ms
     }
 
     /// Returns the models and adapters that the server holds, `None` before its first report.
-    pub fn holdings(&self) -> Option<&Holdings> {
-        self.holdings.as_ref()
+    pub fn inventory(&self) -> Option<&Inventory> {
+        self.inventory.as_ref()
     }
 
     /// Returns the models and adapters for which requests can be sent now.
     ///
     /// Leaves out adapters that are being loaded or unloaded and a model that is being unloaded.
-    pub fn servable(&self, now: Instant) -> Option<Holdings> {
-        let mut holdings = self.holdings.clone()?;
+    pub fn servable(&self, now: Instant) -> Option<Inventory> {
+        let mut inventory = self.inventory.clone()?;
         for (model, adapter, ready) in &self.adapters_ready {
             if now < *ready {
-                remove_adapter(&mut holdings, model, adapter);
+                remove_adapter(&mut inventory, model, adapter);
             }
         }
         for (model, adapter) in &self.adapters_unloading {
-            remove_adapter(&mut holdings, model, adapter);
+            remove_adapter(&mut inventory, model, adapter);
         }
         match self.operation() {
             Some(Operation::UnloadModel(model)) => {
-                holdings.models.retain(|(name, _)| name != model);
+                inventory.models.retain(|(name, _)| name != model);
             }
             Some(Operation::LoadModel(model)) if self.should_be_loaded(now) => {
-                holdings.models.push((model.clone(), Vec::new()));
+                inventory.models.push((model.clone(), Vec::new()));
             }
             _ => {}
         }
-        Some(holdings)
+        Some(inventory)
     }
 
     // Reports lag, so requests are sent once a load should have ended; the server rejects them if it
@@ -229,12 +229,14 @@
     /// Returns whether the server can be given an order now.
     pub fn is_free(&self, now: Instant) -> bool {
         let paused = self.paused_until.is_some_and(|until| now < until);
-        self.pending.is_none() && self.holdings.is_some() && !paused
+        self.pending.is_none() && self.inventory.is_some() && !paused
     }
 
     /// Returns the number of accepted orders that the next order must carry.
     pub fn expected_orders(&self) -> u64 {
-        self.holdings.as_ref().map_or(0, |holdings| holdings.orders)
+        self.inventory
+            .as_ref()
+            .map_or(0, |inventory| inventory.orders)
     }
 
     /// Records an order that is being sent as pending.
@@ -256,8 +258,8 @@
             OrderReply::Accepted => {
                 pending.ends = Some(now + duration);
                 let operation = pending.operation.clone();
-                if let Some(holdings) = &mut self.holdings {
-                    holdings.orders += 1;
+                if let Some(inventory) = &mut self.inventory {
+                    inventory.orders += 1;
                 }
                 self.apply_accepted(now, operation, duration);
             }
@@ -277,7 +279,7 @@
     }
 
     fn apply_accepted(&mut self, now: Instant, operation: Operation, duration: Duration) {
-        let Some(holdings) = &mut self.holdings else {
+        let Some(inventory) = &mut self.inventory else {
             return;
         };
         match operation {
@@ -287,13 +289,13 @@
             Operation::UnloadModel(model) => {
                 // An idle model is unloaded at once. If requests still use it, the server is busy
                 // until they end and accepts no other order, so its memory can be counted as free.
-                holdings.models.retain(|(name, _)| *name != model);
+                inventory.models.retain(|(name, _)| *name != model);
                 self.pending = None;
                 self.paused_until = Some(now + UNLOAD_PAUSE);
                 self.unloaded_at = Some(now);
             }
             Operation::LoadAdapter(model, adapter) => {
-                add_adapter(holdings, &model, &adapter);
+                add_adapter(inventory, &model, &adapter);
                 let ready = now + ADAPTER_LOAD_TIME;
                 self.adapters_ready.retain(|(_, _, at)| now < *at);
                 self.adapters_ready.push((model, adapter, ready));
@@ -318,16 +320,16 @@
         let Some(pending) = self.pending.take() else {
             return;
         };
-        let Some(holdings) = &mut self.holdings else {
+        let Some(inventory) = &mut self.inventory else {
             return;
         };
         match pending.operation {
             Operation::UnloadAdapter(model, adapter) => {
                 // The adapter was unused: the unload took effect at once and counts as accepted.
-                remove_adapter(holdings, &model, &adapter);
-                holdings.orders += 1;
+                remove_adapter(inventory, &model, &adapter);
+                inventory.orders += 1;
             }
-            Operation::LoadAdapter(model, adapter) => add_adapter(holdings, &model, &adapter),
+            Operation::LoadAdapter(model, adapter) => add_adapter(inventory, &model, &adapter),
             Operation::LoadModel(_) | Operation::UnloadModel(_) => {
                 self.pending = Some(pending);
                 self.report_due = Some(now + REPORT_LAG);
@@ -356,13 +358,13 @@
     /// Compares the known state with the platform's list of servers.
     ///
     /// The list lags, so a report is requested only if it differs some time after the last report.
-    pub fn check_listed(&mut self, now: Instant, listed: &Holdings) {
-        let Some(holdings) = &self.holdings else {
+    pub fn check_listed(&mut self, now: Instant, listed: &Inventory) {
+        let Some(inventory) = &self.inventory else {
             return;
         };
         let differs = |(model, _): &(ModelName, _)| listed.adapters(model).is_none();
         let same =
-            holdings.models.len() == listed.models.len() && !holdings.models.iter().any(differs);
+            inventory.models.len() == listed.models.len() && !inventory.models.iter().any(differs);
         let is_recent = self
             .reported_at
             .is_some_and(|at| now.saturating_duration_since(at) < LIST_LAG);
@@ -391,21 +393,21 @@
             return;
         }
         let known = self.expected_orders();
-        let is_old = self.holdings.is_some() && report.holdings.orders < known;
+        let is_old = self.inventory.is_some() && report.inventory.orders < known;
         if report.busy || is_old {
             self.apply_busy_report(now, report);
             return;
         }
-        let mut held = report.holdings;
+        let mut held = report.inventory;
         for (model, adapter) in &report.incoming {
             add_adapter(&mut held, model, adapter);
         }
-        self.holdings = Some(held);
+        self.inventory = Some(held);
         self.pending = None;
         self.adapters_ready.retain(|(_, _, ready)| now < *ready);
-        let holdings = &self.holdings;
+        let inventory = &self.inventory;
         self.adapters_unloading.retain(|(model, adapter)| {
-            let held = holdings.as_ref().and_then(|held| held.adapters(model));
+            let held = inventory.as_ref().and_then(|held| held.adapters(model));
             held.is_some_and(|adapters| adapters.contains(adapter))
         });
         if !self.adapters_unloading.is_empty() {
@@ -415,29 +417,29 @@
 
     fn apply_busy_report(&mut self, now: Instant, report: StatusReport) {
         self.report_due = Some(now + REPORT_PAUSE);
-        let Some(holdings) = &mut self.holdings else {
+        let Some(inventory) = &mut self.inventory else {
             // Nothing can be ordered until the order in progress has ended.
             return;
         };
-        if report.holdings.orders > holdings.orders {
-            *holdings = report.holdings;
+        if report.inventory.orders > inventory.orders {
+            *inventory = report.inventory;
             for (model, adapter) in &report.incoming {
-                add_adapter(holdings, model, adapter);
+                add_adapter(inventory, model, adapter);
             }
         }
     }
 }
 
-fn add_adapter(holdings: &mut Holdings, model: &ModelName, adapter: &AdapterName) {
-    for (name, adapters) in &mut holdings.models {
+fn add_adapter(inventory: &mut Inventory, model: &ModelName, adapter: &AdapterName) {
+    for (name, adapters) in &mut inventory.models {
         if name == model && !adapters.contains(adapter) {
             adapters.push(adapter.clone());
         }
     }
 }
 
-fn remove_adapter(holdings: &mut Holdings, model: &ModelName, adapter: &AdapterName) {
-    for (name, adapters) in &mut holdings.models {
+fn remove_adapter(inventory: &mut Inventory, model: &ModelName, adapter: &AdapterName) {
+    for (name, adapters) in &mut inventory.models {
         if name == model {
             adapters.retain(|held| held != adapter);
         }
--- a/crates/apricotwell_dispatch/src/placement.rs
+++ b/crates/apricotwell_dispatch/src/placement.rs
@@ -90,11 +90,11 @@
         for backend in backends.usable(now, &service.name) {
             let entry = &backend.entry;
             let known = self.servers.get(&entry.id);
-            if known.is_none_or(|known| known.born() != entry.started_ms) {
+            if known.is_none_or(|known| known.started_ms() != entry.started_ms) {
                 self.servers
                     .insert(entry.id.clone(), ServerOrders::new(now, entry.started_ms));
             } else if let Some(known) = self.servers.get_mut(&entry.id) {
-                known.check_listed(now, &entry.holdings);
+                known.check_listed(now, &entry.inventory);
             }
         }
         self.servers.retain(|id, _| {
@@ -193,7 +193,7 @@
         !plan.backends.is_empty()
             && plan.backends.keys().all(|id| {
                 let server = self.servers.get(id);
-                server.is_some_and(|server| server.holdings().is_some())
+                server.is_some_and(|server| server.inventory().is_some())
             })
     }
 
@@ -242,15 +242,15 @@
                 Some(Operation::UnloadModel(model)) => Some(model),
                 _ => None,
             };
-            let Some(holdings) = server.holdings() else {
+            let Some(inventory) = server.inventory() else {
                 continue;
             };
-            let held = holdings.models.iter().map(|(model, _)| model);
+            let held = inventory.models.iter().map(|(model, _)| model);
             let kept = held
                 .filter(|model| Some(*model) != dropped)
                 .chain(loading)
                 .chain(planned);
-            plan.add_server(&id, kept, &holdings.on_disk);
+            plan.add_server(&id, kept, &inventory.on_disk);
         }
     }
 
@@ -322,8 +322,8 @@
         let is_planned = |id: &ServerId, server: &ServerOrders| {
             self.planned_loads.get(id).is_some_and(|load| {
                 server
-                    .holdings()
-                    .is_some_and(|holdings| !holdings.is_cached(&load.model))
+                    .inventory()
+                    .is_some_and(|inventory| !inventory.is_cached(&load.model))
             })
         };
         self.servers
@@ -353,12 +353,12 @@
 
     // Returns the number of models that no server holds and that only this server has on disk.
     fn sole_copies(&self, plan: &Plan<'_>, id: &str) -> usize {
-        let Some(holdings) = self.servers.get(id).and_then(ServerOrders::holdings) else {
+        let Some(inventory) = self.servers.get(id).and_then(ServerOrders::inventory) else {
             return 0;
         };
         let only_here =
             |model: &&ModelName| plan.replicas(model) == 0 && plan.copies(model).len() == 1;
-        holdings.on_disk.iter().filter(only_here).count()
+        inventory.on_disk.iter().filter(only_here).count()
     }
 
     fn order(
@@ -398,6 +398,6 @@
         _ => {}
     }
     server
-        .holdings()
-        .is_some_and(|holdings| holdings.adapters(model).is_some())
+        .inventory()
+        .is_some_and(|inventory| inventory.adapters(model).is_some())
 }
--- a/crates/apricotwell_dispatch/src/placement/adapters.rs
+++ b/crates/apricotwell_dispatch/src/placement/adapters.rs
@@ -22,8 +22,8 @@
         let held = plan.backends.keys().any(|id| {
             let server = self.servers.get(id);
             server
-                .and_then(ServerOrders::holdings)
-                .and_then(|holdings| holdings.adapters(model))
+                .and_then(ServerOrders::inventory)
+                .and_then(|inventory| inventory.adapters(model))
                 .is_some_and(|adapters| adapters.contains(adapter))
         });
         if held {
@@ -42,11 +42,11 @@
             .iter()
             .filter(|(id, _)| self.can_order(plan, id))
             .filter_map(|(id, backend)| {
-                let holdings = self.servers.get(id)?.holdings()?;
-                holdings.adapters(model)?;
-                let full = holdings.adapter_count() >= plan.engine.adapter_slots
-                    || free_memory(plan.engine, holdings) < spec.adapter_mb;
-                Some((full, holdings.adapter_count(), backend.in_flight(), id))
+                let inventory = self.servers.get(id)?.inventory()?;
+                inventory.adapters(model)?;
+                let full = inventory.adapter_count() >= plan.engine.adapter_slots
+                    || free_memory(plan.engine, inventory) < spec.adapter_mb;
+                Some((full, inventory.adapter_count(), backend.in_flight(), id))
             })
             .min();
         let Some((full, _, _, id)) = best else {
@@ -69,8 +69,8 @@
         if server.unloading_adapters() > 0 {
             return None;
         }
-        let holdings = server.holdings()?;
-        let rated = holdings.models.iter().flat_map(|(model, adapters)| {
+        let inventory = server.inventory()?;
+        let rated = inventory.models.iter().flat_map(|(model, adapters)| {
             let demand = plan.demand.get(model);
             let staying = adapters
                 .iter()
--- a/crates/apricotwell_dispatch/src/placement/loading.rs
+++ b/crates/apricotwell_dispatch/src/placement/loading.rs
@@ -137,8 +137,8 @@
         };
         let duration = self.load_time(server, spec);
         let fetches = server
-            .holdings()
-            .is_some_and(|holdings| !holdings.is_cached(&spec.name));
+            .inventory()
+            .is_some_and(|inventory| !inventory.is_cached(&spec.name));
         // Additional replicas may use only half of the fetches, so that they don't delay the first
         // replica of another model.
         let limit = if plan.replicas(&spec.name) > 0 {
@@ -154,13 +154,13 @@
     }
 
     fn load_time(&self, server: &ServerOrders, spec: &ModelSpec) -> Duration {
-        let Some(holdings) = server.holdings() else {
+        let Some(inventory) = server.inventory() else {
             return spec.store_load;
         };
-        if holdings.in_memory.contains(&spec.name) {
+        if inventory.in_memory.contains(&spec.name) {
             return spec.memory_load;
         }
-        if holdings.on_disk.contains(&spec.name) {
+        if inventory.on_disk.contains(&spec.name) {
             return spec.disk_load;
         }
         let behind = (self.fetch_count() + 1).saturating_sub(PARALLEL_FETCHES);
@@ -186,8 +186,8 @@
         spec: &ModelSpec,
     ) -> Option<Eviction> {
         let server = self.servers.get(id)?;
-        let holdings = server.holdings()?;
-        let free = free_memory(plan.engine, holdings);
+        let inventory = server.inventory()?;
+        let free = free_memory(plan.engine, inventory);
         if free >= spec.weights_mb {
             return Some(Eviction {
                 victim: None,
@@ -195,7 +195,7 @@
                 cost: 0.0,
             });
         }
-        let victims = holdings
+        let victims = inventory
             .models
             .iter()
             .filter(|(model, _)| !self.is_recent(plan, model))
--- a/crates/apricotwell_dispatch/src/placement/plan.rs
+++ b/crates/apricotwell_dispatch/src/placement/plan.rs
@@ -9,7 +9,7 @@
 use super::demand::FleetDemand;
 use crate::backends::Backend;
 use crate::catalog::EngineSpec;
-use crate::model::{Holdings, ModelName};
+use crate::model::{Inventory, ModelName};
 
 /// Servers of one service, the demand for its models and the orders planned so far.
 pub(super) struct Plan<'a> {
@@ -96,12 +96,12 @@
 }
 
 /// Returns the memory in MB that neither models nor adapters occupy.
-pub(super) fn free_memory(engine: &EngineSpec, holdings: &Holdings) -> f64 {
+pub(super) fn free_memory(engine: &EngineSpec, inventory: &Inventory) -> f64 {
     let largest = || {
         let weights = engine.models.values().map(|spec| spec.weights_mb);
         weights.fold(0.0, f64::max)
     };
-    let taken = holdings.models.iter().map(|(name, adapters)| {
+    let taken = inventory.models.iter().map(|(name, adapters)| {
         // A model that is no longer configured is counted as the largest one.
         let spec = engine.model(name);
         let weights = spec.map_or_else(largest, |spec| spec.weights_mb);
--- a/crates/apricotwell_dispatch/tests/dispatcher.rs
+++ b/crates/apricotwell_dispatch/tests/dispatcher.rs
@@ -98,13 +98,13 @@
         draining: false,
         remaining: None,
         started_ms: 1,
-        holdings: Holdings {
+        inventory: Inventory {
             models: models
                 .iter()
                 .map(|name| ((*name).into(), Vec::new()))
                 .collect(),
             on_disk: vec!["on-disk".into()],
-            ..Holdings::default()
+            ..Inventory::default()
         },
     }
 }
--- a/crates/apricotwell_dispatch/tests/engines/engines.rs
+++ b/crates/apricotwell_dispatch/tests/engines/engines.rs
@@ -9,7 +9,7 @@
 use apricotwell_dispatch::backends::{BackendEntry, BackendTable};
 use apricotwell_dispatch::catalog::{EngineSpec, ModelSpec, Service};
 use apricotwell_dispatch::inventory_updates::InventoryUpdates;
-use apricotwell_dispatch::model::Holdings;
+use apricotwell_dispatch::model::Inventory;
 use apricotwell_dispatch::orders::{Operation, OrderReply, StatusReport};
 use apricotwell_dispatch::placement::{Order, PlacementPlanner};
 use apricotwell_messages::{ModelUse, ServerStock};
@@ -39,7 +39,7 @@
 }
 
 struct Engine {
-    born: u64,
+    started_ms: u64,
     orders: u64,
     models: Vec<(String, Vec<String>)>,
     disk: Vec<String>,
@@ -110,7 +110,7 @@
                 }
             }
             let engine = Engine {
-                born: 1,
+                started_ms: 1,
                 orders: 0,
                 memory: held.iter().take(MEMORY_COPIES).cloned().collect(),
                 models: held.into_iter().map(|name| (name, Vec::new())).collect(),
@@ -152,7 +152,7 @@
 
     pub(crate) fn restart(&mut self, server: &str) {
         let engine = self.engines.get_mut(server).unwrap();
-        engine.born += 1;
+        engine.started_ms += 1;
         engine.orders = 0;
         engine.models.clear();
         engine.memory.clear();
@@ -268,8 +268,8 @@
 
     fn can_send(&self, model: &str, adapter: &str) -> bool {
         self.planner.servers().any(|(id, server)| {
-            let holdings = server.servable(self.now).unwrap_or_default();
-            let adapters = holdings.adapters(model);
+            let inventory = server.servable(self.now).unwrap_or_default();
+            let adapters = inventory.adapters(model);
             let servable = adapters.is_some_and(|adapters| {
                 adapter.is_empty() || adapters.iter().any(|name| **name == *adapter)
             });
@@ -338,8 +338,8 @@
             slots: 64,
             draining: false,
             remaining: None,
-            started_ms: engine.born,
-            holdings: engine.holdings(0),
+            started_ms: engine.started_ms,
+            inventory: engine.inventory(0),
         }
     }
 
@@ -377,7 +377,7 @@
         let engine = self.engines.get_mut(id).unwrap();
         let report = StatusReport {
             busy: engine.running.is_some(),
-            holdings: engine.holdings(engine.orders),
+            inventory: engine.inventory(engine.orders),
             incoming: Vec::new(),
         };
         engine.history.push((now, report));
@@ -476,9 +476,9 @@
         }
     }
 
-    fn holdings(&self, orders: u64) -> Holdings {
+    fn inventory(&self, orders: u64) -> Inventory {
         let names = |names: &[String]| names.iter().map(|name| name.as_str().into()).collect();
-        Holdings {
+        Inventory {
             orders,
             models: self
                 .models
--- a/crates/apricotwell_dispatch/tests/feeds.rs
+++ b/crates/apricotwell_dispatch/tests/feeds.rs
@@ -4,7 +4,7 @@
 
 use apricotwell_dispatch::backends::BackendEntry;
 use apricotwell_dispatch::feeds::{Feed, FeedUpdate, FeedViews, ServerListChange, decode_answer};
-use apricotwell_dispatch::model::Holdings;
+use apricotwell_dispatch::model::Inventory;
 use apricotwell_messages::FeedQuery;
 
 fn entry(number: u16) -> BackendEntry {
@@ -17,7 +17,7 @@
         draining: number.is_multiple_of(2),
         remaining: Some(Duration::from_millis(1500)),
         started_ms: 17,
-        holdings: Holdings {
+        inventory: Inventory {
             orders: 3,
             models: vec![("m1".into(), vec!["a1".into()])],
             in_memory: vec!["m2".into()],
--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -301,7 +301,7 @@
     }
 }
 
-fn same_models(one: &Holdings, other: &Holdings) -> bool {
+fn same_models(one: &Inventory, other: &Inventory) -> bool {
     one.models.len() == other.models.len()
         && one
             .models
@@ -314,11 +314,11 @@
     let changed = before.is_none_or(|before| {
         before.draining != entry.draining
             || before.started_ms != entry.started_ms
-            || !same_models(&before.holdings, &entry.holdings)
+            || !same_models(&before.inventory, &entry.inventory)
     });
     if changed {
         let models: Vec<&str> = entry
-            .holdings
+            .inventory
             .models
             .iter()
             .map(|(model, _)| &**model)
@@ -328,9 +328,9 @@
             .with("service", &*entry.service)
             .with("leaving", entry.draining)
             .with("born", entry.started_ms)
-            .with("orders", entry.holdings.orders)
+            .with("orders", entry.inventory.orders)
             .with("models", models)
-            .with("on_disk", entry.holdings.on_disk.len())
+            .with("on_disk", entry.inventory.on_disk.len())
             .log();
     }
 }
