--- a/crates/apricotwell_gateway/src/gateway.rs
+++ b/crates/apricotwell_gateway/src/gateway.rs
@@ -96,7 +96,7 @@
 {
     /// Returns an instance that knows nothing yet.
     pub fn new(
-        facts: InstanceFacts,
+        facts: InstanceConfig,
         listeners: ListenAddresses,
         times: Timings,
         pool: Rc<ConnectionPool>,
