--- a/crates/apricotwell_dispatch/src/orders.rs
+++ b/crates/apricotwell_dispatch/src/orders.rs
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns the start number of the server's process.
+    /// Returns the start of the server's process, in milliseconds since the epoch.
     pub fn started_ms(&self) -> u64 {
         self.started_ms
     }
--- a/crates/apricotwell_dispatch/src/placement.rs
+++ b/crates/apricotwell_dispatch/src/placement.rs
@@ -2,8 +2,8 @@
 //!
 //! The holder of the placement lease decides which models each server loads and evicts. Most models
 //! are requested rarely and a few all the time, while each server holds only a few models at once.
-//! A request meets its deadline if its model is loaded from the server's own disk or memory, and
-//! misses it if the weights are first fetched from the weight store.
+//! A model that a server loads from its own disk or memory is usually ready in time for the requests
+//! that wait for it; one that is fetched from the weight store is late.
 
 mod adapters;
 mod demand;
@@ -42,7 +42,7 @@
 /// Share of a busy model's target replicas that is loaded before rarely used models with waiting
 /// requests.
 const SHORTAGE_SHARE: f64 = 0.6;
-/// Most unloaded models for which a server may have the only copy and still prefetch another one:
+/// Maximum number of unloaded models for which a server has the only copy and still prefetches others:
 /// requests for those models wait while it fetches.
 const MAX_SOLE_COPIES: usize = 2;
 
--- a/crates/apricotwell_dispatch/src/placement/adapters.rs
+++ b/crates/apricotwell_dispatch/src/placement/adapters.rs
@@ -5,7 +5,8 @@
 use crate::model::{AdapterName, ModelName};
 use crate::orders::{Operation, ServerOrders};
 
-/// Most adapters that one plan loads for a service; limits concurrent reads from the weight store.
+/// Maximum number of adapters that one plan loads for a service; limits concurrent reads from the
+/// weight store.
 const PARALLEL_ADAPTERS: usize = 16;
 
 impl PlacementPlanner {
--- a/crates/apricotwell_dispatch/src/prompt_cache.rs
+++ b/crates/apricotwell_dispatch/src/prompt_cache.rs
@@ -7,18 +7,18 @@
 use crate::model::RequestedModel;
 use crate::request::PromptSegment;
 
-/// Number of prompt parts tracked per server.
-const PARTS_PER_SERVER: usize = 512;
+/// Number of prompt segments tracked per server.
+const SEGMENTS_PER_SERVER: usize = 512;
 
-/// Prompt parts that servers have likely cached; a wrong entry only makes a request slower.
+/// Prompt segments that servers have likely cached; a wrong entry only makes a request slower.
 #[derive(Debug, Default)]
 pub struct PromptCacheTable {
-    servers: Map<ServerId, CachedParts>,
+    servers: Map<ServerId, CachedSegments>,
 }
 
 #[derive(Debug, Default)]
-struct CachedParts {
-    parts: Map<(RequestedModel, u64), ()>,
+struct CachedSegments {
+    segments: Map<(RequestedModel, u64), ()>,
     insertion_order: VecDeque<(RequestedModel, u64)>,
 }
 
@@ -31,36 +31,40 @@
         prompt: &[PromptSegment],
     ) {
         let entry = self.servers.entry(server.clone()).or_default();
-        for part in prompt {
-            let key = (requested.clone(), part.id);
-            if entry.parts.insert(key.clone(), ()).is_none() {
+        for segment in prompt {
+            let key = (requested.clone(), segment.id);
+            if entry.segments.insert(key.clone(), ()).is_none() {
                 entry.insertion_order.push_back(key);
             }
-            if entry.insertion_order.len() > PARTS_PER_SERVER
+            if entry.insertion_order.len() > SEGMENTS_PER_SERVER
                 && let Some(oldest) = entry.insertion_order.pop_front()
             {
-                entry.parts.remove(&oldest);
+                entry.segments.remove(&oldest);
             }
         }
     }
 
     /// Returns the number of tokens of a prompt that a server has to process.
     ///
-    /// The leading parts that the server has likely cached are not counted.
+    /// The leading segments that the server has likely cached are not counted.
     pub fn uncached_tokens(
         &self,
         server: &str,
         requested: &RequestedModel,
         prompt: &[PromptSegment],
     ) -> f64 {
-        let total: u64 = prompt.iter().map(|part| part.tokens).sum();
+        let total: u64 = prompt.iter().map(|segment| segment.tokens).sum();
         let Some(entry) = self.servers.get(server) else {
             return total as f64;
         };
         let cached: u64 = prompt
             .iter()
-            .take_while(|part| entry.parts.contains_key(&(requested.clone(), part.id)))
-            .map(|part| part.tokens)
+            .take_while(|segment| {
+                entry
+                    .segments
+                    .contains_key(&(requested.clone(), segment.id))
+            })
+            .map(|segment| segment.tokens)
             .sum();
         (total - cached) as f64
     }
--- a/crates/apricotwell_dispatch/src/quota/window.rs
+++ b/crates/apricotwell_dispatch/src/quota/window.rs
@@ -118,9 +118,9 @@
         let others = (reporting - 1.0) / reporting;
         let own = self.unreported as f64 + cost * CONCURRENT_SHARE;
         let max_rate = self.limit / (bucket_len * BUCKETS).as_secs_f64() * MAX_RATE_FACTOR;
-        let most = max_rate * age.max(MIN_REPORT_LAG).as_secs_f64();
+        let upper = max_rate * age.max(MIN_REPORT_LAG).as_secs_f64();
         (own * (reporting - 1.0))
-            .min(most)
+            .min(upper)
             .max(rate * age.as_secs_f64() * others)
     }
 
--- a/crates/apricotwell_dispatch/tests/engines/engines.rs
+++ b/crates/apricotwell_dispatch/tests/engines/engines.rs
@@ -131,7 +131,7 @@
         (self.random >> 33) as usize % limit
     }
 
-    pub(crate) fn lose_answers(&mut self, share: f64) {
+    pub(crate) fn lose_replies(&mut self, share: f64) {
         self.lost = share;
     }
 
@@ -307,8 +307,8 @@
     }
 
     /// Returns the servers in the lease holder's next broadcast.
-    pub(crate) fn next_broadcast(&self, news: &mut InventoryUpdates) -> Vec<ServerStock> {
-        news.take_batch(self.now, &self.planner, &self.table)
+    pub(crate) fn next_broadcast(&self, updates: &mut InventoryUpdates) -> Vec<ServerStock> {
+        updates.take_batch(self.now, &self.planner, &self.table)
     }
 
     fn uses(&self) -> Vec<ModelUse> {
--- a/crates/apricotwell_dispatch/tests/orders.rs
+++ b/crates/apricotwell_dispatch/tests/orders.rs
@@ -5,7 +5,7 @@
 use apricotwell_dispatch::model::Inventory;
 use apricotwell_dispatch::orders::{Operation, OrderReply, ServerOrders, StatusReport};
 
-const BORN: u64 = 7;
+const STARTED_MS: u64 = 7;
 const LOAD: Duration = Duration::from_secs(2);
 /// Time after which every follow-up of an order is due.
 const LATER: Duration = Duration::from_secs(3);
@@ -33,7 +33,7 @@
 }
 
 fn reported_server(now: Instant, inventory: Inventory) -> ServerOrders {
-    let mut server = ServerOrders::new(now, BORN);
+    let mut server = ServerOrders::new(now, STARTED_MS);
     assert!(server.take_due_report(now));
     server.apply_report(now, report(false, inventory));
     assert!(server.is_free(now));
@@ -43,7 +43,7 @@
 #[test]
 fn nothing_is_ordered_before_the_first_report() {
     let now = Instant::now();
-    let mut server = ServerOrders::new(now, BORN);
+    let mut server = ServerOrders::new(now, STARTED_MS);
     assert!(!server.is_free(now));
     assert!(server.take_due_report(now));
     server.apply_report(now, None);
--- a/crates/apricotwell_dispatch/tests/placing.rs
+++ b/crates/apricotwell_dispatch/tests/placing.rs
@@ -16,7 +16,7 @@
 /// Time of one fetch from the weight store, plus the time to detect that a server was emptied.
 const FETCH_TARGET: Duration = Duration::from_millis(8700 + 1500);
 
-/// Most servers in one broadcast: those refreshed in turn, and those with a recent change.
+/// Maximum number of servers in one broadcast: those refreshed in turn, and those with a recent change.
 const MAX_BROADCAST: usize = 12;
 
 fn small() -> Setup {
@@ -59,7 +59,10 @@
     engines.set_rate(&busy, 12.0);
     engines.simulate_rare(Duration::from_secs(12), 1.5);
     let replicas = engines.holders(&busy);
-    assert!(replicas >= 3, "{replicas} replicas at 12 requests a second");
+    assert!(
+        replicas >= 3,
+        "{replicas} replicas at 12 requests per second"
+    );
 }
 
 #[test]
@@ -82,7 +85,7 @@
 fn no_server_is_ordered_beyond_its_memory_when_orders_are_lost_and_late() {
     for seed in 1..=20 {
         let mut engines = Engines::new(small(), seed);
-        engines.lose_answers(0.3);
+        engines.lose_replies(0.3);
         engines.simulate_rare(Duration::from_secs(40), 1.5);
         assert_eq!(engines.overcommits, 0, "seed {seed}");
     }
@@ -161,9 +164,9 @@
 fn a_new_lease_holder_does_not_broadcast_what_the_list_says() {
     let mut engines = Engines::new(large(), 1);
     engines.run(Duration::from_secs(3));
-    let mut news = InventoryUpdates::default();
+    let mut updates = InventoryUpdates::default();
     for _ in 0..5 {
-        let sent = engines.next_broadcast(&mut news);
+        let sent = engines.next_broadcast(&mut updates);
         assert!(
             sent.len() <= MAX_BROADCAST,
             "{} servers at once",
@@ -176,12 +179,12 @@
 fn a_load_is_broadcast_at_once_and_repeatedly() {
     let mut engines = Engines::new(large(), 1);
     engines.run(Duration::from_secs(3));
-    let mut news = InventoryUpdates::default();
+    let mut updates = InventoryUpdates::default();
     let model = engines.unheld_model();
     engines.wait_for(&model);
     let mut sent = 0;
     for _ in 0..3 {
-        let servers = engines.next_broadcast(&mut news);
+        let servers = engines.next_broadcast(&mut updates);
         let holds = |server: &ServerStock| server.models.iter().any(|held| held.model == model);
         sent += usize::from(servers.iter().any(holds));
     }
--- a/crates/apricotwell_dispatch/tests/quota.rs
+++ b/crates/apricotwell_dispatch/tests/quota.rs
@@ -227,8 +227,11 @@
         ] {
             let mut fleet = Fleet::with_instances(LARGE_FLEET, organisation(rate, rate));
             let share = simulate_retries(&mut fleet, 24, load, seed);
-            let (most, allowed) = (fleet.max_in_window() as f64, fleet.allowed());
-            assert!(most <= allowed, "{most} of {allowed} at {load} of {rate}");
+            let (max_spent, allowed) = (fleet.max_in_window() as f64, fleet.allowed());
+            assert!(
+                max_spent <= allowed,
+                "{max_spent} of {allowed} at {load} of {rate}"
+            );
             // The requests within the rate are served.
             assert!(share > 1.4 / load, "{share} at {load} of {rate}");
         }
@@ -259,8 +262,12 @@
         for seed in 1..=10 {
             let mut fleet = Fleet::new(organisation(rate, rate));
             simulate(&mut fleet, 24, load, seed);
-            let most = fleet.max_in_window() as f64;
-            assert!(most <= fleet.allowed(), "{most} of {}", fleet.allowed());
+            let max_spent = fleet.max_in_window() as f64;
+            assert!(
+                max_spent <= fleet.allowed(),
+                "{max_spent} of {}",
+                fleet.allowed()
+            );
         }
     }
 }
@@ -304,8 +311,12 @@
         }
         fleet.offset = restart;
         simulate(&mut fleet, 8, 7.0, seed);
-        let most = fleet.max_in_window() as f64;
-        assert!(most <= fleet.allowed(), "{most} of {}", fleet.allowed());
+        let max_spent = fleet.max_in_window() as f64;
+        assert!(
+            max_spent <= fleet.allowed(),
+            "{max_spent} of {}",
+            fleet.allowed()
+        );
     }
 }
 
@@ -338,8 +349,12 @@
         fleet.starting = Some(4);
         fleet.offset = at;
         simulate(&mut fleet, 8, 7.5, seed + 1);
-        let most = fleet.max_in_window() as f64;
-        assert!(most <= fleet.allowed(), "{most} of {}", fleet.allowed());
+        let max_spent = fleet.max_in_window() as f64;
+        assert!(
+            max_spent <= fleet.allowed(),
+            "{max_spent} of {}",
+            fleet.allowed()
+        );
     }
 }
 
