--- a/crates/apricotwell_claims/src/lib.rs
+++ b/crates/apricotwell_claims/src/lib.rs
@@ -23,9 +23,9 @@
 mod table;
 
 pub use apricotwell_types::BodyDigest;
-pub use table::{Answer, ClaimTable, Outcome, Verdict};
+pub use table::{ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
-    pub use crate::{Answer, BodyDigest, ClaimTable, Outcome, Verdict};
+    pub use crate::{BodyDigest, ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
 }
--- a/crates/apricotwell_claims/src/table.rs
+++ b/crates/apricotwell_claims/src/table.rs
@@ -7,22 +7,22 @@
 
 /// Answer that is replayed to a repeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct RecordedAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
-    pub media: String,
+    pub content_type: String,
     /// Body; empty when it was too large to keep.
     pub body: Vec<u8>,
 }
 
 /// How a claimed attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ClaimOutcome {
     /// The caller got an answer.
-    Answered(Answer),
+    Answered(RecordedAnswer),
     /// No answer, with what is known of the run.
-    Ended(Ending),
+    NoAnswer(Ending),
 }
 
 /// What a request with an idempotency key may do.
@@ -35,7 +35,7 @@
     /// The attempt named here holds the key and has not ended.
     Held(String),
     /// An attempt with this key and body ended.
-    Ended(Outcome),
+    Ended(ClaimOutcome),
     /// The key came with another body.
     OtherBody,
 }
@@ -44,7 +44,7 @@
 struct Claim {
     body: BodyDigest,
     attempt: String,
-    outcome: Option<Outcome>,
+    outcome: Option<ClaimOutcome>,
     written: u64,
     offset: Offset,
 }
@@ -134,7 +134,7 @@
     }
 
     /// Forgets claims written before `before`, in milliseconds since the Unix epoch.
-    pub fn forget(&mut self, before: u64) {
+    pub fn remove_expired(&mut self, before: u64) {
         self.claims.retain(|_, claim| claim.written >= before);
     }
 
@@ -208,11 +208,11 @@
             Some(Ending::NotRun) => {
                 self.claims.remove(&key);
             }
-            Some(ending) => claim.outcome = Some(Outcome::Ended(ending)),
+            Some(ending) => claim.outcome = Some(ClaimOutcome::NoAnswer(ending)),
             None => {
-                claim.outcome = Some(Outcome::Answered(Answer {
+                claim.outcome = Some(ClaimOutcome::Answered(RecordedAnswer {
                     status: finished.status as u16,
-                    media: finished.media.clone(),
+                    content_type: finished.media.clone(),
                     body: finished.answer.clone(),
                 }));
             }
@@ -221,25 +221,25 @@
     }
 }
 
-fn finished_record(key: BodyDigest, attempt: &str, outcome: &Outcome) -> Finished {
+fn finished_record(key: BodyDigest, attempt: &str, outcome: &ClaimOutcome) -> Finished {
     let mut finished = Finished {
         key: key.0.to_vec(),
         attempt: attempt.to_owned(),
         ..Finished::default()
     };
     match outcome {
-        Outcome::Ended(ending) => finished.outcome = ending.as_str().to_owned(),
-        Outcome::Answered(answer) => {
+        ClaimOutcome::NoAnswer(ending) => finished.outcome = ending.as_str().to_owned(),
+        ClaimOutcome::Answered(answer) => {
             finished.outcome = "answered".to_owned();
             finished.status = u32::from(answer.status);
-            finished.media = answer.media.clone();
+            finished.media = answer.content_type.clone();
             finished.answer = answer.body.clone();
         }
     }
     finished
 }
 
-impl Outcome {
+impl ClaimOutcome {
     /// Returns the record that tells this outcome of an attempt.
     pub fn to_record(&self, key: BodyDigest, attempt: &str) -> Finished {
         finished_record(key, attempt, self)
--- a/crates/apricotwell_claims/tests/table.rs
+++ b/crates/apricotwell_claims/tests/table.rs
@@ -1,6 +1,6 @@
 //! Which claim records have an effect.
 
-use apricotwell_claims::{Answer, BodyDigest, ClaimTable, Outcome, Verdict};
+use apricotwell_claims::{BodyDigest, ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
 use apricotwell_records::{ClaimBody, ClaimRecord, Claimed, Finished, Opened};
 use apricotwell_types::Ending;
 
@@ -20,7 +20,7 @@
     record(fence, ClaimBody::Claimed(claimed))
 }
 
-fn finished(fence: u64, attempt: &str, outcome: &Outcome) -> ClaimRecord {
+fn finished(fence: u64, attempt: &str, outcome: &ClaimOutcome) -> ClaimRecord {
     record(fence, ClaimBody::Finished(outcome.to_record(KEY, attempt)))
 }
 
@@ -55,13 +55,13 @@
 
 #[test]
 fn the_first_claim_wins_and_its_first_end_stays() {
-    let answer = Answer {
+    let answer = RecordedAnswer {
         status: 200,
-        media: "text/plain".to_owned(),
+        content_type: "text/plain".to_owned(),
         body: b"done".to_vec(),
     };
-    let answered = Outcome::Answered(answer.clone());
-    let unknown = Outcome::Ended(Ending::OutcomeUnknown);
+    let answered = ClaimOutcome::Answered(answer.clone());
+    let unknown = ClaimOutcome::NoAnswer(Ending::OutcomeUnknown);
     let table = fold(&[
         opened(1),
         claimed(1, "a"),
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_claim_that_ended_as_not_run_frees_its_key() {
-    let not_run = Outcome::Ended(Ending::NotRun);
+    let not_run = ClaimOutcome::NoAnswer(Ending::NotRun);
     let table = fold(&[
         opened(1),
         claimed(1, "a"),
@@ -91,7 +91,7 @@
 
 #[test]
 fn claims_written_anew_give_the_same_table() {
-    let failed = Outcome::Ended(Ending::FailedAfterRun);
+    let failed = ClaimOutcome::NoAnswer(Ending::FailedAfterRun);
     let mut table = fold(&[opened(1), claimed(1, "a"), finished(1, "a", &failed)]);
     let again = table.republish(10, 100);
     assert_eq!(again.len(), 2);
--- a/crates/apricotwell_entry/src/answer.rs
+++ b/crates/apricotwell_entry/src/answer.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use serde_json::json;
 
-use apricotwell_claims::Answer;
+use apricotwell_claims::RecordedAnswer;
 use apricotwell_types::Refusal;
 
 #[derive(Serialize)]
@@ -45,10 +45,10 @@
 }
 
 /// Returns the recorded answer to a repeat.
-pub(crate) fn replay(answer: Answer) -> HttpResponse {
+pub(crate) fn replay(answer: RecordedAnswer) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     HttpResponse::build(status)
-        .insert_header(("content-type", answer.media))
+        .insert_header(("content-type", answer.content_type))
         .insert_header(("x-replayed", "true"))
         .body(answer.body)
 }
--- a/crates/apricotwell_entry/src/api/guard.rs
+++ b/crates/apricotwell_entry/src/api/guard.rs
@@ -6,7 +6,7 @@
 use actix_web::web::{Bytes, Payload};
 use tokio::time::timeout;
 
-use apricotwell_state::KeyHolder;
+use apricotwell_state::KeyOwner;
 use apricotwell_types::{BodyDigest, KeyDigest, Refusal, RefusalKind, WorkClass};
 
 use crate::Shell;
@@ -17,7 +17,7 @@
 /// Caller that showed a key in force.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
-    pub(crate) holder: KeyHolder,
+    pub(crate) holder: KeyOwner,
     pub(crate) digest: KeyDigest,
 }
 
--- a/crates/apricotwell_entry/src/api/operators.rs
+++ b/crates/apricotwell_entry/src/api/operators.rs
@@ -94,7 +94,7 @@
             path.strip_prefix(prefix)
                 .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
         };
-        let entries = node.state().config().all();
+        let entries = node.state().config().all_entries();
         let values: Vec<ConfigValue> = entries
             .filter(|(path, _)| is_below(path))
             .map(|(path, entry)| ConfigValue {
--- a/crates/apricotwell_entry/src/shell.rs
+++ b/crates/apricotwell_entry/src/shell.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::mpsc;
 
-use apricotwell_claims::Answer;
+use apricotwell_claims::RecordedAnswer;
 use apricotwell_logging::EventFile;
 use apricotwell_node::{Action, AttemptOutcome, Dispatch, Node, Submission};
 use apricotwell_timeline::Event;
@@ -23,7 +23,7 @@
     /// Answer with a refusal.
     Refuse(Refusal),
     /// Answer with a recorded answer.
-    Replay(Answer),
+    Replay(RecordedAnswer),
 }
 
 /// Turns of one request.
--- a/crates/apricotwell_fakes/examples/slopes.rs
+++ b/crates/apricotwell_fakes/examples/slopes.rs
@@ -15,7 +15,7 @@
     SettleOutcome, Take,
 };
 use apricotwell_routing::{Candidate, Router};
-use apricotwell_state::{Genesis, State, chunk_checkpoint, restore};
+use apricotwell_state::{Genesis, State, chunk_checkpoint, restore_checkpoint};
 use apricotwell_types::{ServerId, Set, WorkClass};
 
 fn main() {
@@ -232,7 +232,7 @@
         let write = began.elapsed();
         let bytes: Vec<u8> = chunks.into_iter().flat_map(|chunk| chunk.bytes).collect();
         let began = Instant::now();
-        let restored = restore(&bytes, built.state.genesis()).is_ok();
+        let restored = restore_checkpoint(&bytes, built.state.genesis()).is_ok();
         println!(
             "state {servers} servers {models} models {adapters} adapters {loaded} loaded: {memory:.0} MiB, \
              {} records {:.0} bytes each, fold {:.1} us each, checkpoint {} bytes written in {:.0} ms \
--- a/crates/apricotwell_leases/src/freshness.rs
+++ b/crates/apricotwell_leases/src/freshness.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Evidence {
     /// When the exchange that carried it began, by this instance's clock.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// First offset that the peer has not applied.
     pub next: Offset,
     /// Time since the peer's view was last confirmed; `None` when it never was.
-    pub contact_age: Option<Duration>,
+    pub view_age: Option<Duration>,
     /// Time since the peer last reached the log itself; `None` when it never did.
-    pub direct_age: Option<Duration>,
+    pub log_contact_age: Option<Duration>,
 }
 
 /// How far this instance's view can be trusted.
@@ -33,7 +33,7 @@
         /// When the members' statements lapse.
         until: Instant,
         /// Whether every listed member said so: then nobody knows of any change at all.
-        complete: bool,
+        unanimous: bool,
     },
     /// Others may know more than this instance.
     CutOff,
@@ -91,48 +91,48 @@
     }
 
     /// Returns the time since the last confirmed contact.
-    pub fn contact_age(&self, now: Instant) -> Option<Duration> {
+    pub fn view_age(&self, now: Instant) -> Option<Duration> {
         self.contact
             .map(|contact| now.saturating_duration_since(contact))
     }
 
     /// Notes a read that began at `began` and reached the end of the log at `next`.
-    pub fn note_log_read(&mut self, began: Instant, next: Offset) {
+    pub fn record_read(&mut self, began: Instant, next: Offset) {
         self.next = self.next.max(next);
         self.contact = self.contact.max(Some(began));
     }
 
     /// Notes records applied without knowing whether they were the last ones.
-    pub fn note_applied(&mut self, next: Offset) {
+    pub fn record_applied(&mut self, next: Offset) {
         self.next = self.next.max(next);
     }
 
     /// Notes what a peer said.
     ///
     /// A peer with recent contact and no record beyond ours confirms our view as well.
-    pub fn note_peer(&mut self, peer: InstanceId, evidence: Evidence) {
-        if let Some(age) = evidence.contact_age
+    pub fn record_evidence(&mut self, peer: InstanceId, evidence: Evidence) {
+        if let Some(age) = evidence.view_age
             && evidence.next <= self.next
         {
-            let contact = evidence.asked.checked_sub(age);
+            let contact = evidence.requested_at.checked_sub(age);
             self.contact = self.contact.max(contact);
         }
         // What comes through others may be older than what is known.
         let known = self.peers.get(&peer);
-        if known.is_none_or(|known| known.asked < evidence.asked) {
+        if known.is_none_or(|known| known.requested_at < evidence.requested_at) {
             self.peers.insert(peer, evidence);
         }
     }
 
     /// Returns what peers said within the window.
-    pub fn statements(&self, now: Instant) -> impl Iterator<Item = (&InstanceId, &Evidence)> {
+    pub fn recent_evidence(&self, now: Instant) -> impl Iterator<Item = (&InstanceId, &Evidence)> {
         self.recent(now)
     }
 
     /// Returns when a peer last reached the log itself, as far as is known.
-    pub fn direct_contact(&self, peer: &str) -> Option<Instant> {
+    pub fn last_log_contact(&self, peer: &str) -> Option<Instant> {
         let evidence = self.peers.get(peer)?;
-        evidence.asked.checked_sub(evidence.direct_age?)
+        evidence.requested_at.checked_sub(evidence.log_contact_age?)
     }
 
     /// Returns a peer that has applied records that this instance lacks.
@@ -180,7 +180,7 @@
         let mut asked: Vec<Instant> = self
             .recent(now)
             .filter(|(peer, _)| ***peer != *me && members.contains(peer))
-            .map(|(_, evidence)| evidence.asked)
+            .map(|(_, evidence)| evidence.requested_at)
             .collect();
         let needed = majority(members.len()).saturating_sub(1);
         if asked.len() < needed {
@@ -193,7 +193,7 @@
         };
         Some(View::Outage {
             until: weakest + self.window,
-            complete: asked.len() + 1 >= members.len(),
+            unanimous: asked.len() + 1 >= members.len(),
         })
     }
 
@@ -222,7 +222,7 @@
     fn recent(&self, now: Instant) -> impl Iterator<Item = (&InstanceId, &Evidence)> {
         self.peers
             .iter()
-            .filter(move |(_, evidence)| now < evidence.asked + self.window)
+            .filter(move |(_, evidence)| now < evidence.requested_at + self.window)
     }
 }
 
--- a/crates/apricotwell_leases/src/lib.rs
+++ b/crates/apricotwell_leases/src/lib.rs
@@ -12,22 +12,22 @@
 //!
 //! let start = Instant::now();
 //! let mut freshness = Freshness::new(Duration::from_secs(3));
-//! freshness.note_log_read(start, 1);
+//! freshness.record_read(start, 1);
 //! let view = freshness.view(start + Duration::from_secs(1), &["entry-1".into(), "entry-2".into()], "entry-1");
 //! assert_eq!(view, View::Fresh { until: start + Duration::from_secs(3) });
 //! ```
 
 mod freshness;
+mod own_leases;
 mod planner;
-mod standing;
 
 pub use freshness::{Evidence, Freshness, View};
+pub use own_leases::{LeaseState, OwnLeases};
 pub use planner::{LeasePlan, LiveMember, plan_leases};
-pub use standing::{Standing, Standings};
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
     pub use crate::{
-        Evidence, Freshness, LeasePlan, LiveMember, Standing, Standings, View, plan_leases,
+        Evidence, Freshness, LeasePlan, LeaseState, LiveMember, OwnLeases, View, plan_leases,
     };
 }
--- a/crates/apricotwell_leases/src/standing.rs
+++ b/crates/apricotwell_leases/src/own_leases.rs
@@ -12,7 +12,7 @@
 
 /// Whether this instance may act on a duty shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseState {
     /// Another instance holds the shard, or the view has lapsed.
     NotHeld,
     /// The lease is recorded, but its previous holder may still act.
@@ -36,7 +36,7 @@
 /// members had applied it: until then the previous holder may act on members' statements that the
 /// log is down.
 #[derive(Debug)]
-pub struct Standings {
+pub struct OwnLeases {
     me: InstanceId,
     incarnation: Incarnation,
     effective: Map<Shard, Effective>,
@@ -53,7 +53,7 @@
     released: bool,
 }
 
-impl Standings {
+impl OwnLeases {
     /// Returns the standings of an instance that holds nothing yet.
     pub fn new(me: InstanceId, incarnation: Incarnation) -> Self {
         Self {
@@ -102,24 +102,24 @@
         shard: Shard,
         until: Option<Instant>,
         window: Duration,
-    ) -> Standing {
+    ) -> LeaseState {
         let Some(entry) = self.effective.get(&shard) else {
-            return Standing::NotHeld;
+            return LeaseState::NotHeld;
         };
         if entry.released {
-            return Standing::NotHeld;
+            return LeaseState::NotHeld;
         }
         let Some(since) = entry.since else {
-            return Standing::Waiting;
+            return LeaseState::Waiting;
         };
         let Some(until) = until else {
-            return Standing::NotHeld;
+            return LeaseState::NotHeld;
         };
         let until = until - window / DRIFT_DIVISOR;
         if now >= until {
-            return Standing::NotHeld;
+            return LeaseState::NotHeld;
         }
-        Standing::Held {
+        LeaseState::Held {
             fence: entry.fence,
             until,
             since,
--- a/crates/apricotwell_leases/src/planner.rs
+++ b/crates/apricotwell_leases/src/planner.rs
@@ -17,30 +17,30 @@
     /// Start number.
     pub incarnation: Incarnation,
     /// Whether it drains: it gets no leases and hands over those that it has.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// Lease records that this instance should append.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeasePlan {
     /// Shards without a live holder that this instance takes.
-    pub take: Option<Take>,
+    pub takeover: Option<Take>,
     /// Shards that this instance hands to their new owners.
-    pub hand: Vec<Take>,
+    pub handovers: Vec<Take>,
 }
 
 /// Plans leases from the state and the live members.
 ///
 /// `live` holds those members that are neither dead nor suspected for long, `me` included. A member
 /// that leaves is given the time to hand over by itself, which spares the wait of a takeover.
-/// `may_hand` tells which held shards may be
+/// `can_hand_over` tells which held shards may be
 /// handed on.
 pub fn plan_leases<F>(
     state: &State,
     live: &[LiveMember],
     me: &str,
     incarnation: Incarnation,
-    may_hand: F,
+    can_hand_over: F,
 ) -> LeasePlan
 where
     F: Fn(Shard) -> bool,
@@ -64,7 +64,7 @@
             live.iter()
                 .any(|member| member.id == lease.holder && member.incarnation == lease.incarnation)
         });
-        if held_by_me && *owner.id != *me && moves < MAX_MOVES && may_hand(shard) {
+        if held_by_me && *owner.id != *me && moves < MAX_MOVES && can_hand_over(shard) {
             let entry = hand.entry(&*owner.id).or_insert_with(|| Take {
                 holder: owner.id.to_string(),
                 incarnation: owner.incarnation,
@@ -79,13 +79,13 @@
         }
     }
     LeasePlan {
-        take: (!take.shards.is_empty()).then_some(take),
-        hand: hand.into_values().collect(),
+        takeover: (!take.shards.is_empty()).then_some(take),
+        handovers: hand.into_values().collect(),
     }
 }
 
 fn owner_of(shard: Shard, live: &[LiveMember]) -> Option<&LiveMember> {
-    let staying = live.iter().filter(|member| !member.leaving);
+    let staying = live.iter().filter(|member| !member.draining);
     let ids = staying.map(|member| &*member.id);
     let owner = rendezvous_owner(u64::from(shard), ids)?;
     live.iter().find(|member| *member.id == *owner)
--- a/crates/apricotwell_limits/src/bucket.rs
+++ b/crates/apricotwell_limits/src/bucket.rs
@@ -59,7 +59,7 @@
     /// Tokens that can be granted.
     pub level: Tokens,
     /// Tokens in grants that may still be spent.
-    pub lent: Tokens,
+    pub outstanding: Tokens,
 }
 
 impl Bucket {
@@ -100,7 +100,7 @@
         term: Duration,
         snapshot: BucketSnapshot,
     ) -> Self {
-        let lent = snapshot.lent.min(rate.burst);
+        let lent = snapshot.outstanding.min(rate.burst);
         let mut bucket = Self::full(now, rate, term);
         bucket.level = snapshot.level.min(rate.burst - lent);
         bucket.lend(now, "", lent);
@@ -114,12 +114,12 @@
             // Grants of a still earlier holder may take the whole burst: the next one must wait too.
             return BucketSnapshot {
                 level: 0,
-                lent: self.rate.burst,
+                outstanding: self.rate.burst,
             };
         }
         BucketSnapshot {
             level: self.level,
-            lent: self.lent(),
+            outstanding: self.lent(),
         }
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Returns how long it takes until `want` tokens can be granted, `None` if never.
-    pub fn wait_for(&mut self, now: Instant, want: Tokens) -> Option<Duration> {
+    pub fn wait_time(&mut self, now: Instant, want: Tokens) -> Option<Duration> {
         if want > self.rate.burst {
             return None;
         }
@@ -159,9 +159,9 @@
     }
 
     /// Takes an instance's report of what it spent, finished and gives back.
-    pub fn apply(&mut self, now: Instant, instance: &str, report: &EscrowReport) {
+    pub fn apply_report(&mut self, now: Instant, instance: &str, report: &EscrowReport) {
         self.advance(now);
-        for (id, left) in &report.left {
+        for (id, left) in &report.remaining {
             self.note_left(instance, *id, *left);
         }
         for id in &report.returned {
@@ -202,7 +202,7 @@
         } else {
             return;
         };
-        let reserved = report.finished.saturating_sub(known.reserved);
+        let reserved = report.settled.saturating_sub(known.reserved);
         let refunded = report.refunded.saturating_sub(known.refunded).min(reserved);
         let lapsed = self.lapsed.entry(instance.into()).or_default();
         let uncounted = reserved.min(*lapsed);
@@ -215,7 +215,7 @@
         self.reserved -= counted;
         let progress = Progress {
             session: report.session,
-            reserved: known.reserved.max(report.finished),
+            reserved: known.reserved.max(report.settled),
             refunded: known.refunded.max(report.refunded),
         };
         self.progress.insert(instance.into(), progress);
--- a/crates/apricotwell_limits/src/escrow.rs
+++ b/crates/apricotwell_limits/src/escrow.rs
@@ -38,11 +38,11 @@
     /// Number of the escrow; a later escrow of the same instance has a higher one.
     pub session: u64,
     /// Tokens left in each grant.
-    pub left: Vec<(GrantId, Tokens)>,
+    pub remaining: Vec<(GrantId, Tokens)>,
     /// Grants given back, already reported in `left`.
     pub returned: Vec<GrantId>,
     /// Tokens reserved by all requests that have finished in this session.
-    pub finished: Tokens,
+    pub settled: Tokens,
     /// Of these, tokens that were not used.
     pub refunded: Tokens,
 }
@@ -113,9 +113,9 @@
         self.grants.retain(|held| now < held.idle_at);
         EscrowReport {
             session: self.session,
-            left,
+            remaining: left,
             returned,
-            finished: self.finished,
+            settled: self.finished,
             refunded: self.refunded,
         }
     }
@@ -126,7 +126,7 @@
     }
 
     /// Returns how long a request for tokens may take before its grant is worthless.
-    pub fn patience(term: Duration) -> Duration {
+    pub fn request_timeout(term: Duration) -> Duration {
         term / RETURN_DIVISOR
     }
 
--- a/crates/apricotwell_limits/tests/ideal.rs
+++ b/crates/apricotwell_limits/tests/ideal.rs
@@ -129,7 +129,7 @@
                     if instance.current.session() == session {
                         let report = instance.current.report(now);
                         for _ in 0..copies {
-                            bucket.apply(now, &format!("entry-{index}"), &report);
+                            bucket.apply_report(now, &format!("entry-{index}"), &report);
                         }
                     }
                 }
@@ -208,17 +208,17 @@
     let grant = bucket.grant(start, "entry-1", 300).unwrap();
     escrow.add(start, grant);
     assert!(escrow.take(start, 300));
-    bucket.apply(start, "entry-1", &escrow.report(start));
+    bucket.apply_report(start, "entry-1", &escrow.report(start));
     let later = start + Duration::from_secs(2);
     assert_eq!(bucket.level(later), 300);
     escrow.settle(300, 0);
-    bucket.apply(later, "entry-1", &escrow.report(later));
+    bucket.apply_report(later, "entry-1", &escrow.report(later));
     assert_eq!(bucket.level(later), 400);
     let spent = bucket
         .grant(later, "entry-1", 400)
         .map(|grant| grant.amount);
     assert_eq!(spent, Some(400));
     // The same report again makes nothing.
-    bucket.apply(later, "entry-1", &escrow.report(later));
+    bucket.apply_report(later, "entry-1", &escrow.report(later));
     assert_eq!(bucket.level(later), 0);
 }
--- a/crates/apricotwell_messages/src/tokens.rs
+++ b/crates/apricotwell_messages/src/tokens.rs
@@ -45,7 +45,7 @@
 impl TokenAsk {
     /// Returns an ask with a report.
     pub fn new(org: &str, number: u64, want: u64, report: EscrowReport) -> Self {
-        let left = report.left.into_iter();
+        let left = report.remaining.into_iter();
         Self {
             org: org.to_owned(),
             number,
@@ -55,7 +55,7 @@
                 .map(|(grant, left)| GrantLeft { grant, left })
                 .collect(),
             returned: report.returned,
-            finished: report.finished,
+            finished: report.settled,
             refunded: report.refunded,
         }
     }
@@ -64,13 +64,13 @@
     pub fn report(&self) -> EscrowReport {
         EscrowReport {
             session: self.session,
-            left: self
+            remaining: self
                 .left
                 .iter()
                 .map(|item| (item.grant, item.left))
                 .collect(),
             returned: self.returned.clone(),
-            finished: self.finished,
+            settled: self.finished,
             refunded: self.refunded,
         }
     }
--- a/crates/apricotwell_node/src/action.rs
+++ b/crates/apricotwell_node/src/action.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use apricotwell_claims::Answer;
+use apricotwell_claims::RecordedAnswer;
 use apricotwell_membership::Contact;
 use apricotwell_messages::Envelope;
 use apricotwell_timeline::Event;
@@ -69,7 +69,7 @@
         /// Request to answer.
         request: RequestId,
         /// Recorded answer.
-        answer: Answer,
+        answer: RecordedAnswer,
     },
     /// Write an event to the timeline.
     Event(Event),
--- a/crates/apricotwell_node/src/claim_client.rs
+++ b/crates/apricotwell_node/src/claim_client.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use apricotwell_claims::{Answer, BodyDigest, Outcome};
+use apricotwell_claims::{BodyDigest, ClaimOutcome, RecordedAnswer};
 use apricotwell_messages::{ClaimAsk, ClaimFinish, ClaimReply, ClaimVerdict, Message};
 use apricotwell_records::Finished;
 use apricotwell_types::{Ending, RequestId, Shard};
@@ -37,7 +37,7 @@
     /// Another attempt with the key is in progress.
     Held,
     /// An attempt with the key was answered.
-    Answered(Answer),
+    Answered(RecordedAnswer),
     /// An attempt with the key ended without an answer.
     Ended(Ending),
     /// The key was already used with a different body.
@@ -85,7 +85,7 @@
         shard: Shard,
         key: BodyDigest,
         attempt: &str,
-        outcome: &Outcome,
+        outcome: &ClaimOutcome,
     ) {
         if self.unrecorded.len() >= MAX_UNRECORDED {
             // The claim stays without an outcome; repeats are told that the attempt is in progress
@@ -151,7 +151,7 @@
             return;
         };
         if let Some(key) = BodyDigest::from_slice(&pending.claim.key) {
-            let outcome = Outcome::Ended(Ending::NotRun);
+            let outcome = ClaimOutcome::NoAnswer(Ending::NotRun);
             self.report_outcome(pending.shard, key, attempt, &outcome);
         }
     }
@@ -165,9 +165,9 @@
 fn recorded_result(finished: &Finished) -> ClaimResult {
     match Ending::from_name(&finished.outcome) {
         Some(ending) => ClaimResult::Ended(ending),
-        None => ClaimResult::Answered(Answer {
+        None => ClaimResult::Answered(RecordedAnswer {
             status: finished.status as u16,
-            media: finished.media.clone(),
+            content_type: finished.media.clone(),
             body: finished.answer.clone(),
         }),
     }
--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use apricotwell_claims::{BodyDigest, ClaimTable, Outcome, Verdict};
+use apricotwell_claims::{BodyDigest, ClaimOutcome, ClaimTable, Verdict};
 use apricotwell_messages::{
     ClaimAsk, ClaimFinish, ClaimFinished, ClaimReply, ClaimVerdict, Message,
 };
@@ -157,7 +157,7 @@
         let wall_ms = wall.as_millis() as u64;
         let oldest = wall_ms.saturating_sub(retention.as_millis() as u64);
         for (shard, held) in &mut self.shards {
-            held.table.forget(oldest);
+            held.table.remove_expired(oldest);
             held.reject_expired(now, &mut replies);
             held.send_verdicts(now, &has_ended, &mut replies);
             actions.extend(held.append(now, *shard, wall_ms, last_ticket));
@@ -480,7 +480,7 @@
         }
         Verdict::Held(attempt) if has_ended(&attempt) => {
             // The process ended without reporting an outcome, so the outcome stays unknown.
-            let unknown = Outcome::Ended(Ending::OutcomeUnknown).to_record(key, &attempt);
+            let unknown = ClaimOutcome::NoAnswer(Ending::OutcomeUnknown).to_record(key, &attempt);
             if !outcomes
                 .iter()
                 .any(|outcome| outcome.finished.attempt == attempt)
--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_leases::{
-    Evidence, Freshness, LeasePlan, LiveMember, Standing, Standings, View, plan_leases,
+    Evidence, Freshness, LeasePlan, LeaseState, LiveMember, OwnLeases, View, plan_leases,
 };
 use apricotwell_membership::{Contact, MemberState, Membership, Outgoing, Probe};
 use apricotwell_messages::{
@@ -35,7 +35,7 @@
     window: Duration,
     membership: Membership,
     freshness: Freshness,
-    leases: Standings,
+    leases: OwnLeases,
     // Instances on the platform's list, this one included.
     listed: Vec<InstanceId>,
     leaving: bool,
@@ -62,7 +62,7 @@
             window: settings.evidence_window,
             membership,
             freshness: Freshness::new(settings.evidence_window),
-            leases: Standings::new(settings.id.clone(), settings.incarnation),
+            leases: OwnLeases::new(settings.id.clone(), settings.incarnation),
             listed: vec![settings.id.clone()],
             leaving: false,
             started: now,
@@ -83,14 +83,14 @@
     pub(crate) fn on_log_read(&mut self, began: Instant, next: Offset, reached_end: bool) {
         self.last_contact = self.last_contact.max(Some(began));
         if reached_end {
-            self.freshness.note_log_read(began, next);
+            self.freshness.record_read(began, next);
         } else {
-            self.freshness.note_applied(next);
+            self.freshness.record_applied(next);
         }
     }
 
     pub(crate) fn set_applied(&mut self, next: Offset) {
-        self.freshness.note_applied(next);
+        self.freshness.record_applied(next);
     }
 
     pub(crate) fn view(&self, now: Instant) -> View {
@@ -98,7 +98,7 @@
     }
 
     pub(crate) fn contact_age(&self, now: Instant) -> Option<Duration> {
-        self.freshness.contact_age(now)
+        self.freshness.view_age(now)
     }
 
     /// Returns a peer that has applied records which this instance does not have.
@@ -217,12 +217,12 @@
         };
         if let Some(evidence) = envelope.evidence {
             let evidence = Evidence {
-                asked,
+                requested_at: asked,
                 next: evidence.next,
-                contact_age: evidence.contact_ms.map(Duration::from_millis),
-                direct_age: evidence.direct_ms.map(Duration::from_millis),
+                view_age: evidence.contact_ms.map(Duration::from_millis),
+                log_contact_age: evidence.direct_ms.map(Duration::from_millis),
             };
-            self.freshness.note_peer(peer.clone(), evidence);
+            self.freshness.record_evidence(peer.clone(), evidence);
         }
         for relayed in &envelope.heard {
             let Some(asked) = asked.checked_sub(Duration::from_millis(relayed.age_ms)) else {
@@ -232,13 +232,13 @@
                 continue;
             }
             let evidence = Evidence {
-                asked,
+                requested_at: asked,
                 next: relayed.next,
-                contact_age: relayed.contact_ms.map(Duration::from_millis),
-                direct_age: relayed.direct_ms.map(Duration::from_millis),
+                view_age: relayed.contact_ms.map(Duration::from_millis),
+                log_contact_age: relayed.direct_ms.map(Duration::from_millis),
             };
             self.freshness
-                .note_peer(relayed.member.as_str().into(), evidence);
+                .record_evidence(relayed.member.as_str().into(), evidence);
         }
     }
 
@@ -246,7 +246,7 @@
     // member, although each member probes only a few others.
     fn relay_evidence(&mut self, now: Instant) -> Vec<HeardEvidence> {
         let mut statements: Vec<(&InstanceId, &Evidence)> =
-            self.freshness.statements(now).collect();
+            self.freshness.recent_evidence(now).collect();
         statements.sort_unstable_by_key(|(peer, _)| *peer);
         let count = statements.len();
         let first = self.next_relayed;
@@ -256,9 +256,12 @@
             .map(|(peer, evidence)| HeardEvidence {
                 member: peer.to_string(),
                 next: evidence.next,
-                age_ms: now.saturating_duration_since(evidence.asked).as_millis() as u64 + 1,
-                contact_ms: evidence.contact_age.map(|age| age.as_millis() as u64),
-                direct_ms: evidence.direct_age.map(|age| age.as_millis() as u64),
+                age_ms: now
+                    .saturating_duration_since(evidence.requested_at)
+                    .as_millis() as u64
+                    + 1,
+                contact_ms: evidence.view_age.map(|age| age.as_millis() as u64),
+                direct_ms: evidence.log_contact_age.map(|age| age.as_millis() as u64),
             })
             .collect()
     }
@@ -322,7 +325,7 @@
     /// Returns the state of this instance's lease on a shard.
     ///
     /// It can change at any time, so check it immediately before each side effect.
-    pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> Standing {
+    pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> LeaseState {
         let until = self.freshness.leases_until(now, &self.listed, &self.own_id);
         self.leases.check(now, shard, until, self.window)
     }
@@ -342,7 +345,7 @@
     /// Returns fence and end of the term of a shard on which this instance holds an effective lease.
     pub(crate) fn term(&self, now: Instant, shard: Shard) -> Option<HeldTerm> {
         match self.lease_state(now, shard) {
-            Standing::Held { fence, until, .. } => Some(HeldTerm { fence, until }),
+            LeaseState::Held { fence, until, .. } => Some(HeldTerm { fence, until }),
             _ => None,
         }
     }
@@ -354,7 +357,7 @@
         state: &State,
         shard: Shard,
     ) -> Option<TermStart> {
-        let Standing::Held { fence, since, .. } = self.lease_state(now, shard) else {
+        let LeaseState::Held { fence, since, .. } = self.lease_state(now, shard) else {
             return None;
         };
         let lease = state.lease(shard)?;
@@ -397,12 +400,12 @@
             return LeasePlan::default();
         }
         let live = self.live_members(now);
-        let may_hand = |shard| {
+        let can_hand_over = |shard| {
             self.leaving
-                || matches!(self.lease_state(now, shard), Standing::Held { since, .. }
+                || matches!(self.lease_state(now, shard), LeaseState::Held { since, .. }
                     if now >= since + MIN_TERM)
         };
-        plan_leases(state, &live, &self.own_id, self.incarnation, may_hand)
+        plan_leases(state, &live, &self.own_id, self.incarnation, can_hand_over)
     }
 
     fn all_answered(&self) -> bool {
@@ -417,7 +420,7 @@
     // its leases.
     fn live_members(&self, now: Instant) -> Vec<LiveMember> {
         let reaches_log = |id: &InstanceId| {
-            let last_contact = self.freshness.direct_contact(id);
+            let last_contact = self.freshness.last_log_contact(id);
             last_contact.is_none_or(|last_contact| now < last_contact + self.window * LOST_WINDOWS)
         };
         let mut live: Vec<LiveMember> = self
@@ -428,13 +431,13 @@
             .map(|member| LiveMember {
                 id: member.news.contact.id.clone(),
                 incarnation: member.news.incarnation,
-                leaving: member.news.state == MemberState::Leaving,
+                draining: member.news.state == MemberState::Leaving,
             })
             .collect();
         live.push(LiveMember {
             id: self.own_id.clone(),
             incarnation: self.incarnation,
-            leaving: self.leaving,
+            draining: self.leaving,
         });
         live.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         live
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -10,14 +10,14 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_admission::{FairQueue, WaitEstimate};
-use apricotwell_leases::{Standing, View};
+use apricotwell_leases::{LeaseState, View};
 use apricotwell_membership::{Contact, Member, MemberState};
 use apricotwell_messages::{Envelope, Message};
 use apricotwell_placement::{DemandTable, Planner};
 use apricotwell_records::{AppendError, Body, LogBatch, ReadError, Record};
 use apricotwell_retry::RetryBudget;
 use apricotwell_routing::Router;
-use apricotwell_state::{Assembler, Rejected, State, restore};
+use apricotwell_state::{CheckpointAssembler, RejectReason, State, restore_checkpoint};
 use apricotwell_timeline::{Event, EventKind};
 use apricotwell_types::{
     InstanceId, Map, ModelId, Offset, OrgId, RequestId, Shard, rendezvous_rank, shard_of,
@@ -66,7 +66,7 @@
     demand: DemandTable,
     planner: Planner,
     recent_records: VecDeque<(Offset, Vec<u8>)>,
-    snapshot: Assembler,
+    snapshot: CheckpointAssembler,
     last_ticket: u64,
     // When the API keys were last known to be up to date.
     keys_confirmed: Instant,
@@ -106,7 +106,7 @@
             demand: DemandTable::new(settings.demand_period * DEMAND_PERIODS),
             planner: Planner::default(),
             recent_records: VecDeque::new(),
-            snapshot: Assembler::default(),
+            snapshot: CheckpointAssembler::default(),
             last_ticket: 0,
             keys_confirmed: now,
             caught_up: false,
@@ -157,7 +157,10 @@
         let grace = self.settings.key_grace;
         self.caught_up
             && match self.view(now) {
-                View::Fresh { .. } | View::Outage { complete: true, .. } => true,
+                View::Fresh { .. }
+                | View::Outage {
+                    unanimous: true, ..
+                } => true,
                 View::Outage { .. } => now < self.keys_confirmed + grace,
                 View::CutOff => false,
             }
@@ -253,7 +256,7 @@
         let Ok(Some(bytes)) = self.snapshot.push(chunk) else {
             return false;
         };
-        match restore(&bytes, &self.settings.genesis) {
+        match restore_checkpoint(&bytes, &self.settings.genesis) {
             Ok(state) if state.next() > self.state.next() => {
                 self.state = state;
                 self.last_checkpoint = self.state.next();
@@ -306,7 +309,7 @@
     }
 
     /// Returns the state of this instance's lease on a shard.
-    pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> Standing {
+    pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> LeaseState {
         self.fleet.lease_state(now, shard)
     }
 
@@ -431,7 +434,11 @@
         let view = self.view(now);
         if matches!(
             view,
-            View::Fresh { .. } | View::Outage { complete: true, .. }
+            View::Fresh { .. }
+                | View::Outage {
+                    unanimous: true,
+                    ..
+                }
         ) {
             self.keys_confirmed = now;
         }
@@ -471,7 +478,7 @@
         now: Instant,
         offset: Offset,
         bytes: &[u8],
-        outcome: Result<(), Rejected>,
+        outcome: Result<(), RejectReason>,
     ) {
         let Some(record) = Record::from_bytes(bytes) else {
             return;
--- a/crates/apricotwell_node/src/node/coordination.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -104,10 +104,10 @@
     // append fails or the lease moves.
     fn write_records(&mut self, now: Instant) {
         let plan = self.fleet.plan(now, &self.state);
-        for take in plan.hand {
+        for take in plan.handovers {
             self.hand_over(now, take);
         }
-        if let Some(take) = plan.take {
+        if let Some(take) = plan.takeover {
             self.writer.push(Body::Take(take));
         }
         let fleet = &self.fleet;
--- a/crates/apricotwell_node/src/node/failures.rs
+++ b/crates/apricotwell_node/src/node/failures.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use apricotwell_claims::Outcome;
+use apricotwell_claims::ClaimOutcome;
 use apricotwell_timeline::{Event, EventKind};
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
 
@@ -170,7 +170,7 @@
             Stage::Running { .. } | Stage::CheckingCrash { .. } => {}
         }
         if let (true, Some(ending)) = (request.claimed, ending) {
-            self.report_outcome(now, id, &Outcome::Ended(ending));
+            self.report_outcome(now, id, &ClaimOutcome::NoAnswer(ending));
         }
         self.remove_request(id, used);
     }
--- a/crates/apricotwell_node/src/node/idempotency.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use apricotwell_claims::Outcome;
+use apricotwell_claims::ClaimOutcome;
 use apricotwell_timeline::{Event, EventKind};
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
 
@@ -112,7 +112,7 @@
         }
     }
 
-    pub(super) fn report_outcome(&mut self, now: Instant, id: RequestId, outcome: &Outcome) {
+    pub(super) fn report_outcome(&mut self, now: Instant, id: RequestId, outcome: &ClaimOutcome) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_admission::{QueueFull, Waiting};
-use apricotwell_claims::Outcome;
+use apricotwell_claims::ClaimOutcome;
 use apricotwell_messages::{Demand, DemandItem, Message};
 use apricotwell_routing::Candidate;
-use apricotwell_state::{Callable, KeyHolder, ReplicaPhase};
+use apricotwell_state::{KeyOwner, ReplicaPhase, ResolvedModel};
 use apricotwell_timeline::{Event, EventKind};
 use apricotwell_types::{
     Ending, InstanceId, KeyDigest, ModelId, OrgId, Refusal, RefusalKind, ReplicaId, RequestId,
@@ -31,9 +31,9 @@
     /// # Errors
     ///
     /// Fails when the key is unknown or withdrawn, or when this instance can't verify keys.
-    pub fn authenticate(&self, now: Instant, key: &KeyDigest) -> Result<KeyHolder, Refusal> {
+    pub fn authenticate(&self, now: Instant, key: &KeyDigest) -> Result<KeyOwner, Refusal> {
         self.check_keys(now)?;
-        let holder = self.state.key(key).ok_or_else(|| {
+        let holder = self.state.key_owner(key).ok_or_else(|| {
             Refusal::not_run(
                 RefusalKind::InvalidKey,
                 "the API key is unknown or withdrawn; ask your operator for a new one",
@@ -48,8 +48,8 @@
     ///
     /// Fails when the model does not exist or the organisation may not call it; the error is the
     /// same in both cases.
-    pub fn resolve(&self, org: &str, name: &str) -> Result<Callable, Refusal> {
-        self.state.callable(org, name).ok_or_else(|| {
+    pub fn resolve(&self, org: &str, name: &str) -> Result<ResolvedModel, Refusal> {
+        self.state.resolve_model(org, name).ok_or_else(|| {
             let message = "the model does not exist or your organisation may not call it; see \
                            /v1/models";
             Refusal::not_run(RefusalKind::ModelNotFound, message)
@@ -312,7 +312,7 @@
         let prefix = request.submission.prefix;
         // A body that was running when a server crashed may only go to an idle server, so that
         // another crash hits no other request.
-        let is_suspect = self.state.crashes(request.submission.body_digest) > 0;
+        let is_suspect = self.state.crash_count(request.submission.body_digest) > 0;
         let servers: Vec<Candidate> = candidates
             .iter()
             .map(|(candidate, _)| candidate.clone())
@@ -335,7 +335,7 @@
             return self.service_candidates(now, pool);
         }
         let ledger = self.state.ledger();
-        let version = self.state.load_terms(queue).map(|(version, _, _)| version);
+        let version = self.state.load_spec(queue).map(|(version, _, _)| version);
         let loaded = ledger.replicas_of(queue).filter(|(_, replica)| {
             replica.phase == ReplicaPhase::Loaded
                 && self.servers.is_usable(now, &self.state, &replica.server)
@@ -420,7 +420,7 @@
     pub(super) fn recheck(&self, submission: &Submission) -> Option<Refusal> {
         let withdrawn = submission
             .api_key
-            .is_some_and(|key| self.state.key(&key).is_none());
+            .is_some_and(|key| self.state.key_owner(&key).is_none());
         if withdrawn {
             let message = "the API key was withdrawn while the request waited";
             return Some(Refusal::not_run(RefusalKind::InvalidKey, message));
@@ -537,7 +537,7 @@
         };
         let used = used.unwrap_or(u64::MAX);
         if request.claimed {
-            let outcome = Outcome::Answered(recorded_answer(answer));
+            let outcome = ClaimOutcome::Answered(recorded_answer(answer));
             self.report_outcome(now, id, &outcome);
         }
         let event = Event::new(EventKind::RequestAnswered).with_request(self.request_name(id));
@@ -631,7 +631,7 @@
             .state
             .models()
             .map(|(name, _)| name.to_owned())
-            .filter(|name| self.state.callable(org, name).is_some())
+            .filter(|name| self.state.resolve_model(org, name).is_some())
             .collect();
         let suffix = format!(":{org}/");
         for (id, adapter) in self.state.adapters() {
--- a/crates/apricotwell_node/src/requests.rs
+++ b/crates/apricotwell_node/src/requests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use apricotwell_claims::Answer;
+use apricotwell_claims::RecordedAnswer;
 use apricotwell_types::{Ending, RequestId, ServerId, Tokens};
 
 use crate::Submission;
@@ -145,10 +145,10 @@
 }
 
 /// Converts a stored answer to the form in which claims record it.
-pub(crate) fn recorded_answer(answer: StoredAnswer) -> Answer {
-    Answer {
+pub(crate) fn recorded_answer(answer: StoredAnswer) -> RecordedAnswer {
+    RecordedAnswer {
         status: answer.status,
-        media: answer.content_type,
+        content_type: answer.content_type,
         body: answer.body.unwrap_or_default(),
     }
 }
--- a/crates/apricotwell_node/src/status.rs
+++ b/crates/apricotwell_node/src/status.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use apricotwell_leases::Standing;
+use apricotwell_leases::LeaseState;
 use apricotwell_state::ReplicaPhase;
 
 use crate::Node;
@@ -128,9 +128,9 @@
             holder: lease.holder.to_string(),
             fence: lease.fence,
             standing: match self.lease_state(now, shard) {
-                Standing::Held { .. } => "held",
-                Standing::Waiting => "waiting",
-                Standing::NotHeld => "not_held",
+                LeaseState::Held { .. } => "held",
+                LeaseState::Waiting => "waiting",
+                LeaseState::NotHeld => "not_held",
             },
         };
         let server = |(id, server): (&apricotwell_types::ServerId, &apricotwell_state::Server)| {
@@ -139,7 +139,7 @@
                 server: id.to_string(),
                 pool: server.pool.clone(),
                 incarnation: server.incarnation,
-                used_mib: state.ledger().used(id),
+                used_mib: state.ledger().used_memory(id),
                 memory_mib: pool.map_or(0, |pool| pool.memory_mib),
                 leaving: server.leaving,
             }
@@ -172,7 +172,7 @@
             .map(replica_status)
             .collect();
         let lease = state.lease(state.model_shard(model));
-        let terms = state.load_terms(model);
+        let terms = state.load_spec(model);
         let (waiting, running) = self.model_demand(now, model);
         let reason = if terms.is_none() {
             "it has no settings under /platform/models or /teams/ORG/adapters".to_owned()
--- a/crates/apricotwell_node/src/submission.rs
+++ b/crates/apricotwell_node/src/submission.rs
@@ -3,14 +3,14 @@
 use std::time::Instant;
 
 use apricotwell_routing::PrefixKey;
-use apricotwell_state::Callable;
+use apricotwell_state::ResolvedModel;
 use apricotwell_types::{BodyDigest, KeyDigest, ModelId, OrgId, Tokens, WorkClass};
 
 /// Destination of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// A model or adapter.
-    Model(Callable),
+    Model(ResolvedModel),
     /// A plain service, which runs no model.
     Service {
         /// Name of the route.
--- a/crates/apricotwell_node/src/token_manager.rs
+++ b/crates/apricotwell_node/src/token_manager.rs
@@ -195,14 +195,14 @@
         let org: OrgId = request.org.as_str().into();
         let held = self.bucket(now, &org, rate, term_start);
         if request.session == term_start.fence {
-            held.bucket.apply(now, from, &request.report());
+            held.bucket.apply_report(now, from, &request.report());
         }
         if request.want == 0 {
             return None;
         }
         let grant = held.bucket.grant(now, from, request.want);
         let amount = grant.map_or(0, |grant| grant.amount);
-        let wait = held.bucket.wait_for(now, request.want - amount);
+        let wait = held.bucket.wait_time(now, request.want - amount);
         Some(TokenGrant {
             org: request.org.clone(),
             number: request.number,
@@ -266,7 +266,7 @@
                 org: org.to_string(),
                 fence: held.fence,
                 level: snapshot.level,
-                lent: snapshot.lent,
+                lent: snapshot.outstanding,
             });
             false
         });
@@ -277,7 +277,7 @@
     pub(crate) fn on_bucket_state(&mut self, state: &BucketState) {
         let snapshot = BucketSnapshot {
             level: state.level,
-            lent: state.lent,
+            outstanding: state.lent,
         };
         self.received
             .insert(state.org.as_str().into(), (state.fence, snapshot));
--- a/crates/apricotwell_node/tests/orders.rs
+++ b/crates/apricotwell_node/tests/orders.rs
@@ -478,6 +478,6 @@
         .map(|(_, replica)| replica.phase)
         .collect();
     assert_eq!(phases, [ReplicaPhase::Decided]);
-    assert_eq!(state.ledger().used("engine-1"), 400);
+    assert_eq!(state.ledger().used_memory("engine-1"), 400);
     assert_eq!(world.engine("engine-1").used(), 0);
 }
--- a/crates/apricotwell_placement/src/planner.rs
+++ b/crates/apricotwell_placement/src/planner.rs
@@ -188,7 +188,7 @@
     ) where
         F: Fn(&str) -> Option<Fence>,
     {
-        let Some((version, memory, max_replicas)) = view.state.load_terms(model) else {
+        let Some((version, memory, max_replicas)) = view.state.load_spec(model) else {
             return;
         };
         let present = count_present(view, model, &version);
@@ -319,7 +319,7 @@
                 })
                 .map(|(_, replica)| replica.memory)
                 .sum();
-            let free = (capacity + leaving).saturating_sub(ledger.used(server));
+            let free = (capacity + leaving).saturating_sub(ledger.used_memory(server));
             if leaving > 0 && free >= memory {
                 let reason = "an idle replica is being unloaded to make room";
                 self.reasons.insert(model.clone(), reason.to_owned());
@@ -468,7 +468,7 @@
     let servers = eligible_servers(view, model).into_iter();
     servers
         .filter_map(|(id, server)| {
-            let used = ledger.used(id) + taken.get(id).copied().unwrap_or(0);
+            let used = ledger.used_memory(id) + taken.get(id).copied().unwrap_or(0);
             let free = capacity_of(view, server).checked_sub(used)?;
             let cached = view
                 .servers
@@ -517,7 +517,7 @@
 
 // A load that came about after it had been given up leaves one replica too many.
 fn is_beyond_limit(view: &PlacementView<'_>, replica: &Replica, budget: &Budget) -> bool {
-    let Some((_, _, max_replicas)) = view.state.load_terms(&replica.model) else {
+    let Some((_, _, max_replicas)) = view.state.load_spec(&replica.model) else {
         return false;
     };
     let ledger = view.state.ledger();
@@ -533,7 +533,7 @@
 
 // An old version goes once the new one is loaded, or at once when the model is gone.
 fn is_superseded(view: &PlacementView<'_>, replica: &Replica) -> bool {
-    let Some((version, _, _)) = view.state.load_terms(&replica.model) else {
+    let Some((version, _, _)) = view.state.load_spec(&replica.model) else {
         return true;
     };
     if replica.version == version {
--- a/crates/apricotwell_state/src/checkpoint.rs
+++ b/crates/apricotwell_state/src/checkpoint.rs
@@ -23,7 +23,7 @@
     /// The bytes are of another version.
     Unreadable,
     /// The checkpoint was begun with another root key or number of shards.
-    OtherGenesis,
+    GenesisMismatch,
 }
 
 impl fmt::Display for CheckpointError {
@@ -35,7 +35,7 @@
             CheckpointError::Unreadable => {
                 "the checkpoint is of another version; run the version that wrote it"
             }
-            CheckpointError::OtherGenesis => {
+            CheckpointError::GenesisMismatch => {
                 "the checkpoint has another root key or shard count; set [fleet] like its writer's"
             }
         })
@@ -72,10 +72,10 @@
 /// # Errors
 ///
 /// Fails when the bytes are of another version or of another genesis.
-pub fn restore(bytes: &[u8], genesis: &Genesis) -> Result<State, CheckpointError> {
+pub fn restore_checkpoint(bytes: &[u8], genesis: &Genesis) -> Result<State, CheckpointError> {
     let mut state: State = postcard::from_bytes(bytes).map_err(|_| CheckpointError::Unreadable)?;
     if state.genesis() != genesis {
-        return Err(CheckpointError::OtherGenesis);
+        return Err(CheckpointError::GenesisMismatch);
     }
     state.rebuild();
     Ok(state)
@@ -85,11 +85,11 @@
 
 /// Puts chunks together again, in whatever order and mix they come.
 #[derive(Debug, Default)]
-pub struct Assembler {
+pub struct CheckpointAssembler {
     partial: BTreeMap<CheckpointKey, BTreeMap<u32, CheckpointChunk>>,
 }
 
-impl Assembler {
+impl CheckpointAssembler {
     /// Takes a chunk and returns the bytes of a checkpoint that it completes.
     ///
     /// # Errors
--- a/crates/apricotwell_state/src/config.rs
+++ b/crates/apricotwell_state/src/config.rs
@@ -7,7 +7,7 @@
 use apricotwell_records::{Put, verify_put};
 use apricotwell_types::Offset;
 
-use crate::Rejected;
+use crate::RejectReason;
 use crate::settings::{OperatorSettings, Setting};
 
 /// Name of the operator whose key stands in every instance's settings.
@@ -49,7 +49,7 @@
     }
 
     /// Returns all entries in order of path, deleted ones included.
-    pub fn all(&self) -> impl Iterator<Item = (&str, &ConfigEntry)> {
+    pub fn all_entries(&self) -> impl Iterator<Item = (&str, &ConfigEntry)> {
         let entries = self.entries.iter();
         entries.map(|(path, entry)| (path.as_str(), entry))
     }
@@ -68,19 +68,19 @@
         offset: Offset,
         writer: &str,
         put: &Put,
-    ) -> Result<Option<Setting>, Rejected> {
+    ) -> Result<Option<Setting>, RejectReason> {
         let version = self.get(&put.path).map_or(0, |entry| entry.version);
         if let Some(entry) = self.get(&put.path)
             && entry.change == put.change
             && entry.author == writer
         {
-            return Err(Rejected::Repeated);
+            return Err(RejectReason::Duplicate);
         }
         if version != put.expected {
-            return Err(Rejected::VersionConflict(version));
+            return Err(RejectReason::VersionConflict(version));
         }
         let setting = match &put.value {
-            Some(text) => Some(Setting::parse(&put.path, text).map_err(Rejected::Malformed)?),
+            Some(text) => Some(Setting::parse(&put.path, text).map_err(RejectReason::Malformed)?),
             None => None,
         };
         let entry = ConfigEntry {
@@ -99,14 +99,14 @@
         writer: &str,
         put: &Put,
         root_key: &str,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         let (key, subtree) = if writer == ROOT_OPERATOR {
             (root_key.to_owned(), String::new())
         } else {
-            let operator = self.operator(writer).ok_or(Rejected::UnknownOperator)?;
+            let operator = self.operator(writer).ok_or(RejectReason::UnknownOperator)?;
             (operator.public_key, operator.subtree)
         };
-        verify_put(&key, writer, put).map_err(|_| Rejected::WrongSignature)?;
+        verify_put(&key, writer, put).map_err(|_| RejectReason::InvalidSignature)?;
         let inside = put.path == subtree
             || put
                 .path
@@ -115,7 +115,7 @@
         if inside {
             Ok(())
         } else {
-            Err(Rejected::OutsideSubtree)
+            Err(RejectReason::OutsideSubtree)
         }
     }
 
--- a/crates/apricotwell_state/src/lease.rs
+++ b/crates/apricotwell_state/src/lease.rs
@@ -7,7 +7,7 @@
 use apricotwell_records::Take;
 use apricotwell_types::{Fence, Incarnation, InstanceId, Offset, Shard};
 
-use crate::Rejected;
+use crate::RejectReason;
 
 /// Lease on one duty shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -53,9 +53,9 @@
         incarnation: Incarnation,
         take: &Take,
         shards: Shard,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         if take.shards.len() != take.fences.len() {
-            return Err(Rejected::Unreadable);
+            return Err(RejectReason::Unreadable);
         }
         let mut taken = false;
         for (shard, fence) in take.shards.iter().zip(&take.fences) {
@@ -81,7 +81,7 @@
         if taken {
             Ok(())
         } else {
-            Err(Rejected::StaleFence)
+            Err(RejectReason::StaleFence)
         }
     }
 }
--- a/crates/apricotwell_state/src/ledger.rs
+++ b/crates/apricotwell_state/src/ledger.rs
@@ -8,7 +8,7 @@
 use apricotwell_records::ServerUp;
 use apricotwell_types::{Fence, Incarnation, Mebibytes, ModelId, ReplicaId, ServerId, ZoneId};
 
-use crate::Rejected;
+use crate::RejectReason;
 
 /// Backend server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -114,7 +114,7 @@
     }
 
     /// Returns the memory that a server's replicas take, undetermined ones included.
-    pub fn used(&self, server: &str) -> Mebibytes {
+    pub fn used_memory(&self, server: &str) -> Mebibytes {
         self.used.get(server).copied().unwrap_or(0)
     }
 
@@ -143,7 +143,7 @@
         }
     }
 
-    pub(crate) fn server_up(&mut self, up: &ServerUp) -> Result<(), Rejected> {
+    pub(crate) fn server_up(&mut self, up: &ServerUp) -> Result<(), RejectReason> {
         let id: ServerId = up.server.as_str().into();
         let server = Server {
             incarnation: up.incarnation,
@@ -154,9 +154,9 @@
         };
         match self.servers.get(&id) {
             Some(known) if known.incarnation > up.incarnation => {
-                return Err(Rejected::UnknownTarget);
+                return Err(RejectReason::UnknownTarget);
             }
-            Some(known) if *known == server => return Err(Rejected::Repeated),
+            Some(known) if *known == server => return Err(RejectReason::Duplicate),
             Some(known) if known.incarnation < up.incarnation => self.drop_replicas(&id),
             _ => {}
         }
@@ -168,10 +168,10 @@
         &mut self,
         id: &str,
         incarnation: Incarnation,
-    ) -> Result<(), Rejected> {
-        let known = self.servers.get(id).ok_or(Rejected::UnknownTarget)?;
+    ) -> Result<(), RejectReason> {
+        let known = self.servers.get(id).ok_or(RejectReason::UnknownTarget)?;
         if known.incarnation != incarnation {
-            return Err(Rejected::UnknownTarget);
+            return Err(RejectReason::UnknownTarget);
         }
         self.drop_replicas(id);
         self.servers.remove(id);
@@ -184,26 +184,26 @@
         replica: Replica,
         capacity: Mebibytes,
         max_replicas: u32,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         if self.count_towards_limit(&replica.model, replica.fence) >= max_replicas as usize {
-            return Err(Rejected::ReplicaLimit);
+            return Err(RejectReason::ReplicaLimit);
         }
         let twice = self
             .replicas_of(&replica.model)
             .any(|(_, other)| other.server == replica.server && other.version == replica.version);
         if twice {
-            return Err(Rejected::ReplicaLimit);
+            return Err(RejectReason::ReplicaLimit);
         }
         if let Some((base, _)) = replica.model.split_once(':') {
             let has_base = self.replicas_of(base).any(|(_, other)| {
                 other.server == replica.server && other.phase == ReplicaPhase::Loaded
             });
             if !has_base {
-                return Err(Rejected::UnknownTarget);
+                return Err(RejectReason::UnknownTarget);
             }
         }
-        if self.used(&replica.server) + replica.memory > capacity {
-            return Err(Rejected::MemoryLimit);
+        if self.used_memory(&replica.server) + replica.memory > capacity {
+            return Err(RejectReason::MemoryLimit);
         }
         *self.used.entry(replica.server.clone()).or_default() += replica.memory;
         let ids = self.models.entry(replica.model.clone()).or_default();
@@ -212,13 +212,13 @@
         Ok(())
     }
 
-    pub(crate) fn retire(&mut self, id: ReplicaId) -> Result<(), Rejected> {
-        let replica = self.replicas.get(&id).ok_or(Rejected::UnknownTarget)?;
+    pub(crate) fn retire(&mut self, id: ReplicaId) -> Result<(), RejectReason> {
+        let replica = self.replicas.get(&id).ok_or(RejectReason::UnknownTarget)?;
         if replica.phase == ReplicaPhase::Retiring {
-            return Err(Rejected::WrongPhase);
+            return Err(RejectReason::WrongPhase);
         }
         if self.has_adapters(replica) {
-            return Err(Rejected::WrongPhase);
+            return Err(RejectReason::WrongPhase);
         }
         if let Some(replica) = self.replicas.get_mut(&id) {
             replica.phase = ReplicaPhase::Retiring;
@@ -226,10 +226,13 @@
         Ok(())
     }
 
-    pub(crate) fn settle_loaded(&mut self, id: ReplicaId) -> Result<(), Rejected> {
-        let replica = self.replicas.get_mut(&id).ok_or(Rejected::UnknownTarget)?;
+    pub(crate) fn settle_loaded(&mut self, id: ReplicaId) -> Result<(), RejectReason> {
+        let replica = self
+            .replicas
+            .get_mut(&id)
+            .ok_or(RejectReason::UnknownTarget)?;
         if replica.confirmed {
-            return Err(Rejected::WrongPhase);
+            return Err(RejectReason::WrongPhase);
         }
         replica.confirmed = true;
         if replica.phase == ReplicaPhase::Decided {
@@ -238,10 +241,10 @@
         Ok(())
     }
 
-    pub(crate) fn settle_absent(&mut self, id: ReplicaId) -> Result<(), Rejected> {
-        let replica = self.replicas.get(&id).ok_or(Rejected::UnknownTarget)?;
+    pub(crate) fn settle_absent(&mut self, id: ReplicaId) -> Result<(), RejectReason> {
+        let replica = self.replicas.get(&id).ok_or(RejectReason::UnknownTarget)?;
         if replica.phase == ReplicaPhase::Loaded {
-            return Err(Rejected::WrongPhase);
+            return Err(RejectReason::WrongPhase);
         }
         self.remove(id);
         Ok(())
--- a/crates/apricotwell_state/src/lib.rs
+++ b/crates/apricotwell_state/src/lib.rs
@@ -26,18 +26,20 @@
 mod settings;
 mod state;
 
-pub use checkpoint::{Assembler, CHUNK_BYTES, CheckpointError, chunk_checkpoint, restore};
+pub use checkpoint::{
+    CHUNK_BYTES, CheckpointAssembler, CheckpointError, chunk_checkpoint, restore_checkpoint,
+};
 pub use config::{ConfigEntry, ConfigTree};
 pub use lease::{Lease, LeaseTable};
 pub use ledger::{Ledger, Replica, ReplicaPhase, Server};
-pub use rejection::{Rejected, Rejection};
+pub use rejection::{RejectReason, Rejection};
 pub use settings::{
     AdapterSettings, KeySettings, ModelSettings, OperatorSettings, OrgSettings, PoolKind,
     PoolSettings, QuarantineSettings, RouteSettings, Setting, StoreSettings,
 };
-pub use state::{Callable, Genesis, KeyHolder, State};
+pub use state::{Genesis, KeyOwner, ResolvedModel, State};
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
-    pub use crate::{Genesis, Lease, Rejected, Replica, ReplicaPhase, Server, State};
+    pub use crate::{Genesis, Lease, RejectReason, Replica, ReplicaPhase, Server, State};
 }
--- a/crates/apricotwell_state/src/rejection.rs
+++ b/crates/apricotwell_state/src/rejection.rs
@@ -6,15 +6,15 @@
 
 /// Why a record had no effect; every reader comes to the same one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Rejected {
+pub enum RejectReason {
     /// The writer's record was applied before.
-    Repeated,
+    Duplicate,
     /// The bytes or the kind are unknown to this version.
     Unreadable,
     /// The writer is not an operator known to the configuration.
     UnknownOperator,
     /// The signature does not fit the operator's registered key.
-    WrongSignature,
+    InvalidSignature,
     /// The path lies outside of the operator's subtree.
     OutsideSubtree,
     /// Another change came first; the field holds its version.
@@ -33,43 +33,43 @@
     WrongPhase,
 }
 
-impl fmt::Display for Rejected {
+impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejected::Repeated => f.write_str("the record was applied before; nothing to do"),
-            Rejected::Unreadable => {
+            RejectReason::Duplicate => f.write_str("the record was applied before; nothing to do"),
+            RejectReason::Unreadable => {
                 f.write_str("the record is of an unknown kind; upgrade this instance")
             }
-            Rejected::UnknownOperator => {
+            RejectReason::UnknownOperator => {
                 f.write_str("the operator is not registered under /platform/operators")
             }
-            Rejected::WrongSignature => {
+            RejectReason::InvalidSignature => {
                 f.write_str("the signature does not fit the operator's registered key")
             }
-            Rejected::OutsideSubtree => {
+            RejectReason::OutsideSubtree => {
                 f.write_str("the path lies outside of the operator's subtree; ask its owner")
             }
-            Rejected::VersionConflict(version) => write!(
+            RejectReason::VersionConflict(version) => write!(
                 f,
                 "another change won with version {version}; read it and publish again on top of it"
             ),
-            Rejected::Malformed(reason) => f.write_str(reason),
-            Rejected::StaleFence => f.write_str("the lease has moved; its new holder decides"),
-            Rejected::UnknownTarget => {
+            RejectReason::Malformed(reason) => f.write_str(reason),
+            RejectReason::StaleFence => f.write_str("the lease has moved; its new holder decides"),
+            RejectReason::UnknownTarget => {
                 f.write_str("the server or replica is unknown or has restarted; decide again")
             }
-            Rejected::ReplicaLimit => {
+            RejectReason::ReplicaLimit => {
                 f.write_str("the model has max_replicas replicas; raise it or retire one")
             }
-            Rejected::MemoryLimit => {
+            RejectReason::MemoryLimit => {
                 f.write_str("the server has too little memory; retire a replica on it first")
             }
-            Rejected::WrongPhase => f.write_str("the replica is past this step; nothing to do"),
+            RejectReason::WrongPhase => f.write_str("the replica is past this step; nothing to do"),
         }
     }
 }
 
-impl std::error::Error for Rejected {}
+impl std::error::Error for RejectReason {}
 
 /// Record that had no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -81,5 +81,5 @@
     /// Change number for configuration, otherwise 0.
     pub change: u64,
     /// Reason.
-    pub reason: Rejected,
+    pub reason: RejectReason,
 }
--- a/crates/apricotwell_state/src/state.rs
+++ b/crates/apricotwell_state/src/state.rs
@@ -17,7 +17,7 @@
     AdapterSettings, ModelSettings, OrgSettings, PoolSettings, RouteSettings, Setting,
     StoreSettings,
 };
-use crate::{Rejected, Rejection};
+use crate::{RejectReason, Rejection};
 
 /// Writers whose last record number is remembered.
 const MAX_WRITERS: usize = 4096;
@@ -39,7 +39,7 @@
 
 /// Organisation that holds a key.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeyHolder {
+pub struct KeyOwner {
     /// Organisation.
     pub org: OrgId,
     /// Name of the key, fit to be logged.
@@ -48,7 +48,7 @@
 
 /// Model or adapter as a caller may name it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Callable {
+pub struct ResolvedModel {
     /// Id under which replicas are kept.
     pub model: ModelId,
     /// Version in force.
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Index {
     orgs: Map<OrgId, OrgSettings>,
-    keys: Map<KeyDigest, KeyHolder>,
+    keys: Map<KeyDigest, KeyOwner>,
     models: BTreeMap<String, ModelSettings>,
     adapters: BTreeMap<String, AdapterSettings>,
     pools: Map<String, PoolSettings>,
@@ -152,7 +152,7 @@
     }
 
     /// Returns the holder of a key that is in force.
-    pub fn key(&self, digest: &KeyDigest) -> Option<&KeyHolder> {
+    pub fn key_owner(&self, digest: &KeyDigest) -> Option<&KeyOwner> {
         self.index.keys.get(digest)
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Resolves the model that a caller of `org` names, if it is granted.
-    pub fn callable(&self, org: &str, name: &str) -> Option<Callable> {
+    pub fn resolve_model(&self, org: &str, name: &str) -> Option<ResolvedModel> {
         let settings = self.org(org)?;
         let base = name.split(':').next()?;
         let granted = settings
@@ -231,21 +231,21 @@
         }
         let model = self.model(base)?;
         let Some((_, adapter)) = name.split_once(':') else {
-            return Some(Callable {
+            return Some(ResolvedModel {
                 model: base.into(),
                 version: model.version.clone(),
             });
         };
         let id = adapter_id(base, org, adapter);
         let adapter = self.adapter(&id)?;
-        Some(Callable {
+        Some(ResolvedModel {
             model: id.as_str().into(),
             version: adapter.version.clone(),
         })
     }
 
     /// Returns version, memory and replica limit of a model or adapter.
-    pub fn load_terms(&self, model: &str) -> Option<(String, Mebibytes, u32)> {
+    pub fn load_spec(&self, model: &str) -> Option<(String, Mebibytes, u32)> {
         if model.contains(':') {
             let adapter = self.adapter(model)?;
             let terms = (
@@ -271,13 +271,13 @@
     }
 
     /// Returns how many servers crashed on a body.
-    pub fn crashes(&self, digest: BodyDigest) -> u32 {
+    pub fn crash_count(&self, digest: BodyDigest) -> u32 {
         self.suspects.get(&digest.0).map_or(0, |mark| mark.crashes)
     }
 
     /// Returns whether a body is refused everywhere.
     pub fn is_quarantined(&self, digest: BodyDigest) -> bool {
-        self.crashes(digest) >= QUARANTINE_CRASHES
+        self.crash_count(digest) >= QUARANTINE_CRASHES
     }
 
     /// Returns the suspected bodies with their crashes.
@@ -291,7 +291,7 @@
     /// # Errors
     ///
     /// Fails when the record has no effect; every reader fails alike.
-    pub fn apply(&mut self, offset: Offset, record: &Record) -> Result<(), Rejected> {
+    pub fn apply(&mut self, offset: Offset, record: &Record) -> Result<(), RejectReason> {
         self.next = self.next.max(offset + 1);
         let applied = self.apply_body(offset, record);
         if let Err(reason) = &applied {
@@ -305,26 +305,26 @@
     /// # Errors
     ///
     /// Fails when the record has no effect; every reader fails alike.
-    pub fn apply_bytes(&mut self, offset: Offset, bytes: &[u8]) -> Result<(), Rejected> {
+    pub fn apply_bytes(&mut self, offset: Offset, bytes: &[u8]) -> Result<(), RejectReason> {
         match Record::from_bytes(bytes) {
             Some(record) => self.apply(offset, &record),
             None => {
                 self.next = self.next.max(offset + 1);
-                Err(Rejected::Unreadable)
+                Err(RejectReason::Unreadable)
             }
         }
     }
 
-    fn apply_body(&mut self, offset: Offset, record: &Record) -> Result<(), Rejected> {
+    fn apply_body(&mut self, offset: Offset, record: &Record) -> Result<(), RejectReason> {
         let Some(body) = &record.body else {
-            return Err(Rejected::Unreadable);
+            return Err(RejectReason::Unreadable);
         };
         if let Body::Put(put) = body {
             return self.apply_put(offset, &record.writer, put);
         }
         self.check_writer(record)?;
         match body {
-            Body::Put(_) => Err(Rejected::Unreadable),
+            Body::Put(_) => Err(RejectReason::Unreadable),
             Body::Take(take) => {
                 let shards = self.genesis.shards;
                 let leases = &mut self.leases;
@@ -343,11 +343,11 @@
     }
 
     // Drops repeats after a lost reply and late records of an ended process.
-    fn check_writer(&mut self, record: &Record) -> Result<(), Rejected> {
+    fn check_writer(&mut self, record: &Record) -> Result<(), RejectReason> {
         let mark = self.writers.get(&record.writer);
         let known = mark.map_or((0, 0), |mark| (mark.incarnation, mark.sequence));
         if (record.incarnation, record.sequence) <= known {
-            return Err(Rejected::Repeated);
+            return Err(RejectReason::Duplicate);
         }
         let mark = WriterMark {
             incarnation: record.incarnation,
@@ -367,7 +367,7 @@
         Ok(())
     }
 
-    fn apply_put(&mut self, offset: Offset, writer: &str, put: &Put) -> Result<(), Rejected> {
+    fn apply_put(&mut self, offset: Offset, writer: &str, put: &Put) -> Result<(), RejectReason> {
         let root_key = &self.genesis.root_key;
         self.config.authorise(writer, put, root_key)?;
         self.check_digest(put)?;
@@ -394,7 +394,7 @@
 
     // A digest in force under another path stays there: no team may take over a key that it
     // merely knows the digest of.
-    fn check_digest(&self, put: &Put) -> Result<(), Rejected> {
+    fn check_digest(&self, put: &Put) -> Result<(), RejectReason> {
         let Some(text) = &put.value else {
             return Ok(());
         };
@@ -402,14 +402,14 @@
             return Ok(());
         };
         let digest = KeyDigest::from_hex(&settings.digest);
-        let Some(holder) = digest.and_then(|digest| self.key(&digest)) else {
+        let Some(holder) = digest.and_then(|digest| self.key_owner(&digest)) else {
             return Ok(());
         };
         if put.path == format!("/teams/{}/keys/{}", holder.org, holder.name) {
             return Ok(());
         }
         let fault = format!("{}: the key is in force under another path", put.path);
-        Err(Rejected::Malformed(format!("{fault}; issue a new key")))
+        Err(RejectReason::Malformed(format!("{fault}; issue a new key")))
     }
 
     fn apply_decide(
@@ -417,14 +417,14 @@
         offset: Offset,
         record: &Record,
         decide: &Decide,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         self.check_fence(record, &decide.model, decide.fence)?;
-        let terms = self.load_terms(&decide.model);
-        let (_, memory, max_replicas) = terms.ok_or(Rejected::UnknownTarget)?;
+        let terms = self.load_spec(&decide.model);
+        let (_, memory, max_replicas) = terms.ok_or(RejectReason::UnknownTarget)?;
         let server = self.ledger.server(&decide.server);
-        let server = server.ok_or(Rejected::UnknownTarget)?;
+        let server = server.ok_or(RejectReason::UnknownTarget)?;
         if server.incarnation != decide.incarnation {
-            return Err(Rejected::UnknownTarget);
+            return Err(RejectReason::UnknownTarget);
         }
         let capacity = self.pool(&server.pool).map_or(0, |pool| pool.memory_mib);
         let replica = Replica {
@@ -439,17 +439,17 @@
         self.ledger.decide(offset, replica, capacity, max_replicas)
     }
 
-    fn apply_settle(&mut self, record: &Record, settle: &Settle) -> Result<(), Rejected> {
+    fn apply_settle(&mut self, record: &Record, settle: &Settle) -> Result<(), RejectReason> {
         self.check_replica(record, settle.replica, settle.fence)?;
         match SettleOutcome::try_from(settle.outcome) {
             Ok(SettleOutcome::Loaded) => self.ledger.settle_loaded(settle.replica),
             Ok(SettleOutcome::Absent) => self.ledger.settle_absent(settle.replica),
-            _ => Err(Rejected::Unreadable),
+            _ => Err(RejectReason::Unreadable),
         }
     }
 
-    fn apply_suspect(&mut self, offset: Offset, digest: &[u8]) -> Result<(), Rejected> {
-        let digest = BodyDigest::from_slice(digest).ok_or(Rejected::Unreadable)?;
+    fn apply_suspect(&mut self, offset: Offset, digest: &[u8]) -> Result<(), RejectReason> {
+        let digest = BodyDigest::from_slice(digest).ok_or(RejectReason::Unreadable)?;
         let mark = self.suspects.entry(digest.0).or_insert(SuspectMark {
             crashes: 0,
             latest: offset,
@@ -469,25 +469,25 @@
         Ok(())
     }
 
-    fn check_replica(&self, record: &Record, id: u64, fence: Fence) -> Result<(), Rejected> {
-        let replica = self.ledger.replica(id).ok_or(Rejected::UnknownTarget)?;
+    fn check_replica(&self, record: &Record, id: u64, fence: Fence) -> Result<(), RejectReason> {
+        let replica = self.ledger.replica(id).ok_or(RejectReason::UnknownTarget)?;
         self.check_fence(record, &replica.model.clone(), fence)
     }
 
-    fn check_fence(&self, record: &Record, model: &str, fence: Fence) -> Result<(), Rejected> {
+    fn check_fence(&self, record: &Record, model: &str, fence: Fence) -> Result<(), RejectReason> {
         let lease = self.lease(self.model_shard(model));
-        let lease = lease.ok_or(Rejected::StaleFence)?;
+        let lease = lease.ok_or(RejectReason::StaleFence)?;
         let holds = lease.fence == fence
             && *lease.holder == record.writer
             && lease.incarnation == record.incarnation;
         if holds {
             Ok(())
         } else {
-            Err(Rejected::StaleFence)
+            Err(RejectReason::StaleFence)
         }
     }
 
-    fn note_rejection(&mut self, offset: Offset, record: &Record, reason: Rejected) {
+    fn note_rejection(&mut self, offset: Offset, record: &Record, reason: RejectReason) {
         let change = match &record.body {
             Some(Body::Put(put)) => put.change,
             _ => 0,
@@ -536,7 +536,7 @@
             Setting::Key(settings) => {
                 let digest = KeyDigest::from_hex(&settings.digest);
                 if let (Some(digest), false) = (digest, settings.withdrawn) {
-                    let holder = KeyHolder {
+                    let holder = KeyOwner {
                         org: org.into(),
                         name,
                     };
--- a/crates/apricotwell_state/tests/fold.rs
+++ b/crates/apricotwell_state/tests/fold.rs
@@ -5,7 +5,8 @@
     Suspect, Take,
 };
 use apricotwell_state::{
-    Assembler, CheckpointError, Genesis, Rejected, ReplicaPhase, State, chunk_checkpoint, restore,
+    CheckpointAssembler, CheckpointError, Genesis, RejectReason, ReplicaPhase, State,
+    chunk_checkpoint, restore_checkpoint,
 };
 use apricotwell_types::{BodyDigest, KeyDigest};
 use proptest::prelude::*;
@@ -54,18 +55,18 @@
         fold
     }
 
-    fn apply(&mut self, record: &Record) -> Result<(), Rejected> {
+    fn apply(&mut self, record: &Record) -> Result<(), RejectReason> {
         let offset = self.state.next();
         self.state.apply(offset, record)
     }
 
-    fn write(&mut self, writer: &str, body: Body) -> Result<(), Rejected> {
+    fn write(&mut self, writer: &str, body: Body) -> Result<(), RejectReason> {
         self.sequence += 1;
         let record = Record::new(writer, 1, self.sequence, body);
         self.apply(&record)
     }
 
-    fn put(&mut self, path: &str, value: Option<&str>, expected: u64) -> Result<(), Rejected> {
+    fn put(&mut self, path: &str, value: Option<&str>, expected: u64) -> Result<(), RejectReason> {
         let root = OperatorKey::from_seed([1; 32]);
         self.put_as("root", &root, path, value, expected)
     }
@@ -77,7 +78,7 @@
         path: &str,
         value: Option<&str>,
         expected: u64,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         self.change += 1;
         let mut put = Put {
             path: path.to_owned(),
@@ -95,7 +96,7 @@
         self.state.lease(shard).map_or(0, |lease| lease.fence)
     }
 
-    fn decide(&mut self, writer: &str, model: &str, fence: u64) -> Result<(), Rejected> {
+    fn decide(&mut self, writer: &str, model: &str, fence: u64) -> Result<(), RejectReason> {
         self.decide_on(writer, model, fence, "s", 1)
     }
 
@@ -106,7 +107,7 @@
         fence: u64,
         server: &str,
         incarnation: u64,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         let decide = Decide {
             model: model.to_owned(),
             version: "1".to_owned(),
@@ -150,9 +151,9 @@
         }),
     );
     assert_eq!(fold.apply(&record), Ok(()));
-    assert_eq!(fold.apply(&record), Err(Rejected::Repeated));
+    assert_eq!(fold.apply(&record), Err(RejectReason::Duplicate));
     let digest = BodyDigest([1; 16]);
-    assert_eq!(fold.state.crashes(digest), 1);
+    assert_eq!(fold.state.crash_count(digest), 1);
     // A later process of the same name begins anew; the ended one's records come too late.
     let next = Record::new(
         "a",
@@ -171,7 +172,7 @@
             digest: vec![1; 16],
         }),
     );
-    assert_eq!(fold.apply(&late), Err(Rejected::Repeated));
+    assert_eq!(fold.apply(&late), Err(RejectReason::Duplicate));
     assert!(fold.state.is_quarantined(digest));
 }
 
@@ -179,8 +180,11 @@
 fn only_the_holder_decides_at_the_present_fence() {
     let mut fold = Fold::with_engine();
     let fence = fold.fence("m");
-    assert_eq!(fold.decide("b", "m", fence), Err(Rejected::StaleFence));
-    assert_eq!(fold.decide("a", "m", fence - 1), Err(Rejected::StaleFence));
+    assert_eq!(fold.decide("b", "m", fence), Err(RejectReason::StaleFence));
+    assert_eq!(
+        fold.decide("a", "m", fence - 1),
+        Err(RejectReason::StaleFence)
+    );
     let shard = fold.state.model_shard("m");
     let take = Take {
         shards: vec![shard],
@@ -189,8 +193,11 @@
         incarnation: 1,
     };
     assert_eq!(fold.write("b", Body::Take(take.clone())), Ok(()));
-    assert_eq!(fold.write("c", Body::Take(take)), Err(Rejected::StaleFence));
-    assert_eq!(fold.decide("a", "m", fence), Err(Rejected::StaleFence));
+    assert_eq!(
+        fold.write("c", Body::Take(take)),
+        Err(RejectReason::StaleFence)
+    );
+    assert_eq!(fold.decide("a", "m", fence), Err(RejectReason::StaleFence));
     assert_eq!(fold.decide("b", "m", fold.fence("m")), Ok(()));
 }
 
@@ -208,13 +215,13 @@
             outcome,
         })
     };
-    let full = Err(Rejected::MemoryLimit);
+    let full = Err(RejectReason::MemoryLimit);
     assert_eq!(fold.decide("a", "n", n), full);
     assert_eq!(fold.write("a", settle(SettleOutcome::Loaded)), Ok(()));
     assert_eq!(fold.decide("a", "n", n), full);
     assert_eq!(
         fold.write("a", settle(SettleOutcome::Absent)),
-        Err(Rejected::WrongPhase)
+        Err(RejectReason::WrongPhase)
     );
     assert_eq!(
         fold.write("a", Body::Retire(Retire { replica, fence: m })),
@@ -232,8 +239,11 @@
     assert_eq!(fold.decide("a", "m", m), Ok(()));
     assert_eq!(fold.write("b", up("s", 2)), Ok(()));
     assert_eq!(fold.state.ledger().replicas().count(), 0);
-    assert_eq!(fold.write("b", up("s", 1)), Err(Rejected::UnknownTarget));
-    assert_eq!(fold.decide("a", "n", n), Err(Rejected::UnknownTarget));
+    assert_eq!(
+        fold.write("b", up("s", 1)),
+        Err(RejectReason::UnknownTarget)
+    );
+    assert_eq!(fold.decide("a", "n", n), Err(RejectReason::UnknownTarget));
     assert_eq!(fold.decide_on("a", "n", n, "s", 2), Ok(()));
     let gone = |incarnation| {
         let server = "s".to_owned();
@@ -242,9 +252,9 @@
             incarnation,
         })
     };
-    assert_eq!(fold.write("b", gone(1)), Err(Rejected::UnknownTarget));
+    assert_eq!(fold.write("b", gone(1)), Err(RejectReason::UnknownTarget));
     assert_eq!(fold.write("b", gone(2)), Ok(()));
-    assert_eq!(fold.state.ledger().used("s"), 0);
+    assert_eq!(fold.state.ledger().used_memory("s"), 0);
 }
 
 #[test]
@@ -255,7 +265,7 @@
     assert_eq!(fold.decide("a", "m", fence), Ok(()));
     assert_eq!(
         fold.decide_on("a", "m", fence, "t", 1),
-        Err(Rejected::ReplicaLimit)
+        Err(RejectReason::ReplicaLimit)
     );
     // Nobody knows what became of the earlier holder's load: its memory stays taken.
     let take = Take {
@@ -268,7 +278,10 @@
     let fence = fold.fence("m");
     assert_eq!(fold.decide_on("b", "m", fence, "t", 1), Ok(()));
     assert_eq!(
-        (fold.state.ledger().used("s"), fold.state.ledger().used("t")),
+        (
+            fold.state.ledger().used_memory("s"),
+            fold.state.ledger().used_memory("t")
+        ),
         (60, 60)
     );
 }
@@ -281,7 +294,7 @@
     let fence = fold.fence("m");
     assert_eq!(
         fold.decide("a", "m:o/x", fence),
-        Err(Rejected::UnknownTarget)
+        Err(RejectReason::UnknownTarget)
     );
     assert_eq!(fold.decide("a", "m", fence), Ok(()));
     let base = fold.replica();
@@ -297,7 +310,7 @@
         replica: base,
         fence,
     });
-    assert_eq!(fold.write("a", retire), Err(Rejected::WrongPhase));
+    assert_eq!(fold.write("a", retire), Err(RejectReason::WrongPhase));
     assert_eq!(
         fold.state.ledger().replica(base).unwrap().phase,
         ReplicaPhase::Loaded
@@ -320,9 +333,9 @@
     let key = format!("digest = \"{digest}\"\n");
     let table = [
         ("/teams/o/keys/k", Ok(())),
-        ("/teams/other/keys/k", Err(Rejected::OutsideSubtree)),
-        ("/teams/org/keys/k", Err(Rejected::OutsideSubtree)),
-        ("/platform/store", Err(Rejected::OutsideSubtree)),
+        ("/teams/other/keys/k", Err(RejectReason::OutsideSubtree)),
+        ("/teams/org/keys/k", Err(RejectReason::OutsideSubtree)),
+        ("/platform/store", Err(RejectReason::OutsideSubtree)),
     ];
     for (path, expected) in table {
         assert_eq!(
@@ -333,13 +346,16 @@
     }
     let stranger = OperatorKey::from_seed([3; 32]);
     let forged = fold.put_as("t", &stranger, "/teams/o/keys/l", Some(&key), 0);
-    assert_eq!(forged, Err(Rejected::WrongSignature));
+    assert_eq!(forged, Err(RejectReason::InvalidSignature));
     let unknown = fold.put_as("u", &stranger, "/teams/o/keys/l", Some(&key), 0);
-    assert_eq!(unknown, Err(Rejected::UnknownOperator));
+    assert_eq!(unknown, Err(RejectReason::UnknownOperator));
     // The digest of a key in force can't be claimed for another organisation.
     let stolen = fold.put("/teams/other/keys/k", Some(&key), 0);
-    assert!(matches!(stolen, Err(Rejected::Malformed(_))), "{stolen:?}");
-    let holder = fold.state.key(&KeyDigest::of_secret("s")).unwrap();
+    assert!(
+        matches!(stolen, Err(RejectReason::Malformed(_))),
+        "{stolen:?}"
+    );
+    let holder = fold.state.key_owner(&KeyDigest::of_secret("s")).unwrap();
     assert_eq!(&*holder.org, "o");
 }
 
@@ -351,13 +367,13 @@
     assert_eq!(fold.put(path, Some(&value(1)), 0), Ok(()));
     assert_eq!(
         fold.put(path, Some(&value(2)), 0),
-        Err(Rejected::VersionConflict(1))
+        Err(RejectReason::VersionConflict(1))
     );
     assert_eq!(fold.put(path, None, 1), Ok(()));
     let version = fold.state.config().get(path).unwrap().version;
     assert_eq!(
         fold.put(path, Some(&value(3)), 0),
-        Err(Rejected::VersionConflict(version))
+        Err(RejectReason::VersionConflict(version))
     );
     assert_eq!(fold.put(path, Some(&value(3)), version), Ok(()));
     assert_eq!(fold.state.store().parallel_loads, 3);
@@ -393,7 +409,7 @@
         ),
     ];
     for (path, value, expected) in table {
-        let Err(Rejected::Malformed(reason)) = fold.put(path, Some(value), 0) else {
+        let Err(RejectReason::Malformed(reason)) = fold.put(path, Some(value), 0) else {
             panic!("{path}: accepted");
         };
         assert!(reason.contains(expected), "{path}: {reason}");
@@ -415,20 +431,20 @@
     let others = chunk_checkpoint(&fold.state, "b", 1);
     assert!(chunks.len() > 1);
     chunks.reverse();
-    let mut assembler = Assembler::default();
+    let mut assembler = CheckpointAssembler::default();
     let mut found = None;
     for (chunk, other) in chunks.iter().zip(others) {
         assert!(found.is_none());
         let _ = assembler.push(other);
         found = assembler.push(chunk.clone()).unwrap();
     }
-    let state = restore(&found.unwrap(), &genesis).unwrap();
+    let state = restore_checkpoint(&found.unwrap(), &genesis).unwrap();
     assert_eq!(state.next(), fold.state.next());
     assert_eq!(state.models().count(), 2002);
     assert_eq!(state.ledger(), fold.state.ledger());
 
     chunks[0].bytes[7] ^= 1;
-    let mut assembler = Assembler::default();
+    let mut assembler = CheckpointAssembler::default();
     let results: Vec<_> = chunks
         .into_iter()
         .map(|chunk| assembler.push(chunk))
@@ -440,7 +456,10 @@
         ..genesis
     };
     let bytes = Vec::new();
-    assert_eq!(restore(&bytes, &other), Err(CheckpointError::Unreadable));
+    assert_eq!(
+        restore_checkpoint(&bytes, &other),
+        Err(CheckpointError::Unreadable)
+    );
 }
 
 proptest! {
