--- a/crates/apricotwell_gateway/src/front.rs
+++ b/crates/apricotwell_gateway/src/front.rs
@@ -12,7 +12,7 @@
 use http_body_util::{BodyExt, Either, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
 
-use crate::adapter::{Callers, Platform};
+use crate::adapter::{ClientProtocol, Platform};
 use crate::budget::{Budget, Share};
 use crate::events::Event;
 use crate::gateway::Gateway;
@@ -75,7 +75,7 @@
     let (head, body) = request.into_parts();
     match take(gateway, head, body).await {
         Ok(ticket) => run(ticket).await,
-        Err(refusal) => Served::Whole(P::Callers::encode_refusal(&refusal)),
+        Err(refusal) => Served::Whole(P::ClientProtocol::encode_refusal(&refusal)),
     }
 }
 
@@ -87,7 +87,7 @@
 where
     P: Platform,
 {
-    let call = P::Callers::decode_call(&head)?;
+    let call = P::ClientProtocol::decode_call(&head)?;
     let taken = admit(gateway, &head, body, &call).await;
     if let Err(refusal) = &taken {
         log_refusal(gateway, &call, refusal);
@@ -100,7 +100,7 @@
     gateway: &Rc<Gateway<P>>,
     head: &request::Parts,
     body: Incoming,
-    call: &Call,
+    call: &RequestHead,
 ) -> Result<(HeldBody, Admission), Refusal>
 where
     P: Platform,
@@ -115,11 +115,11 @@
         );
     }
     let limit = body_limit(gateway);
-    let body = read_body(head, body, limit, &gateway.bodies, call.deadline).await?;
+    let body = read_body(head, body, limit, &gateway.bodies, call.timeout).await?;
     let now = gateway.now();
     let mut dispatcher = gateway.dispatcher.borrow_mut();
     let admission = dispatcher.admit(now, call)?;
-    if dispatcher.is_tight(now, &admission) {
+    if dispatcher.is_near_limit(now, &admission) {
         gateway.gossip.notify_one();
     }
     Ok((body, admission))
@@ -131,7 +131,7 @@
 {
     let dispatcher = gateway.dispatcher.borrow();
     let catalog = dispatcher.catalog.as_ref();
-    catalog.map_or(CallerLimits::default().body_bytes, |catalog| {
+    catalog.map_or(ClientLimits::default().body_bytes, |catalog| {
         catalog.limits.body_bytes
     })
 }
@@ -229,7 +229,7 @@
 {
     let mut response = Response::new(());
     *response.status_mut() = answer.head.status;
-    *response.headers_mut() = P::Callers::relay_headers(&answer.head.headers);
+    *response.headers_mut() = P::ClientProtocol::relay_headers(&answer.head.headers);
     response.headers_mut().remove(http::header::CONTENT_LENGTH);
     Served::Stream(response, Box::new(Relay::new(ticket, answer, flight)))
 }
@@ -253,7 +253,7 @@
             ticket.log_end(outcome, Some(&flight.server), head.status.as_u16());
             let mut response = Response::new(body);
             *response.status_mut() = head.status;
-            *response.headers_mut() = P::Callers::relay_headers(&head.headers);
+            *response.headers_mut() = P::ClientProtocol::relay_headers(&head.headers);
             response.headers_mut().remove(http::header::CONTENT_LENGTH);
             return Ok(response);
         }
@@ -286,17 +286,17 @@
     }
     ticket.log_end(refusal.kind.code(), None, refusal.kind.status());
     log_refusal(&ticket.gateway, &ticket.call, refusal);
-    Served::Whole(P::Callers::encode_refusal(refusal))
+    Served::Whole(P::ClientProtocol::encode_refusal(refusal))
 }
 
-fn log_refusal<P>(gateway: &Gateway<P>, call: &Call, refusal: &Refusal)
+fn log_refusal<P>(gateway: &Gateway<P>, call: &RequestHead, refusal: &Refusal)
 where
     P: Platform,
 {
     let dispatcher = gateway.dispatcher.borrow();
     let now = gateway.now();
     gateway.metrics.note_request(refusal.kind.code());
-    let wanted = call.wanted.as_ref();
+    let wanted = call.requested_model.as_ref();
     Event::new("request_refused")
         .with("request", call.attempt.as_str())
         .with("reason", refusal.kind.code())
--- a/crates/apricotwell_gateway/src/spending.rs
+++ b/crates/apricotwell_gateway/src/spending.rs
@@ -26,14 +26,14 @@
 where
     P: Platform,
 {
-    if !gateway.dispatcher.borrow().facts.first_start {
+    if !gateway.dispatcher.borrow().config.first_start {
         restore(&gateway).await;
     }
     let mut pauses = 0;
     loop {
         tokio::time::sleep(TIGHT_PAUSE).await;
         pauses += 1;
-        if pauses < CALM_PAUSES && !gateway.dispatcher.borrow().is_any_tight() {
+        if pauses < CALM_PAUSES && !gateway.dispatcher.borrow().is_any_near_limit() {
             continue;
         }
         pauses = 0;
@@ -47,7 +47,7 @@
             continue;
         };
         gateway.metrics.note_store_call("keep");
-        if let Err(error) = gateway.store.keep_spending(&spending.encode_to_vec()).await {
+        if let Err(error) = gateway.store.save_usage(&spending.encode_to_vec()).await {
             log::info!("spending not kept: {error}");
         }
     }
@@ -58,7 +58,7 @@
     P: Platform,
 {
     loop {
-        let kept = gateway.store.kept_spending().await;
+        let kept = gateway.store.load_usage().await;
         gateway.metrics.note_store_call("kept");
         let error = match kept.map(|kept| kept.as_deref().map(FleetSpending::decode)) {
             Ok(None) => return,
