--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -1,4 +1,4 @@
-//! Requests: from their submission to their end.
+//! Request processing from submission to outcome.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,22 +17,22 @@
 use super::Node;
 use crate::requests::{Stage, recorded_answer};
 use crate::submission::service_pool;
-use crate::token_desk::{HolderRef, Reservation};
+use crate::token_manager::{HolderRef, Reservation};
 use crate::{Action, AttemptOutcome, Dispatch, Submission, Target};
 
-/// Pause told to callers whose request found no room.
-pub(super) const BUSY_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay sent to clients whose request was rejected for lack of capacity.
+pub(super) const BUSY_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 type CandidateCache = BTreeMap<ModelId, Vec<(Candidate, Option<ReplicaId>)>>;
 
 impl Node {
-    /// Returns the holder of a caller's key.
+    /// Returns the holder of an API key.
     ///
     /// # Errors
     ///
-    /// Fails when the key is not in force, or when this instance can't tell.
+    /// Fails when the key is unknown or withdrawn, or when this instance can't verify keys.
     pub fn authenticate(&self, now: Instant, key: &KeyDigest) -> Result<KeyHolder, Refusal> {
-        self.check_view(now)?;
+        self.check_keys(now)?;
         let holder = self.state.key(key).ok_or_else(|| {
             Refusal::not_run(
                 RefusalKind::InvalidKey,
@@ -42,11 +42,12 @@
         Ok(holder.clone())
     }
 
-    /// Returns the model or adapter that an organisation's caller names.
+    /// Returns the model or adapter that `name` denotes for an organisation.
     ///
     /// # Errors
     ///
-    /// Fails when it does not exist or is not granted; the two are not told apart.
+    /// Fails when the model does not exist or the organisation may not call it; the error is the
+    /// same in both cases.
     pub fn resolve(&self, org: &str, name: &str) -> Result<Callable, Refusal> {
         self.state.callable(org, name).ok_or_else(|| {
             let message = "the model does not exist or your organisation may not call it; see \
@@ -55,13 +56,13 @@
         })
     }
 
-    /// Accepts a request; its end comes as an action.
+    /// Accepts a request; its outcome is reported by an action.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal to answer at once.
+    /// Fails when the request must be rejected immediately.
     pub fn submit(&mut self, now: Instant, submission: Submission) -> Result<RequestId, Refusal> {
-        self.check_view(now)?;
+        self.check_keys(now)?;
         self.check_submission(now, &submission)?;
         let org = submission.org.clone();
         let cost = submission.cost();
@@ -70,22 +71,22 @@
         let event = Event::new(EventKind::RequestAccepted)
             .with_request(self.request_name(id))
             .with_org(org.to_string());
-        self.event(now, event);
+        self.emit(now, event);
         if org.is_empty() || cost == 0 {
-            self.enqueue_free(now, id);
+            self.enqueue(now, id);
         } else if let Some(reservation) = self.tokens.take(now, &org, cost) {
-            self.enqueue(now, id, reservation);
+            self.enqueue_reserved(now, id, reservation);
         } else {
             self.tokens.wait(now, &org, id, class, deadline, cost);
-            self.run_tokens(now);
+            self.request_tokens(now);
         }
-        self.pump(now);
-        self.tell_first_demand(now, id);
+        self.dispatch_queued(now);
+        self.send_first_demand(now, id);
         self.flush(now);
         Ok(id)
     }
 
-    /// Drops a request whose caller has gone and that no server was given.
+    /// Cancels a request whose client has disconnected.
     pub fn cancel(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -96,17 +97,17 @@
             return;
         }
         self.drop_request(now, id, 0, Some(Ending::NotRun));
-        self.pump(now);
+        self.dispatch_queued(now);
         self.flush(now);
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the outcome of an attempt.
     pub fn on_attempt_ended(
         &mut self,
         now: Instant,
         id: RequestId,
         attempt: &str,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -117,22 +118,22 @@
         if request.attempt != attempt {
             return;
         }
-        self.note_attempt_end(now, id, &server, &end);
-        match end {
+        self.finish_attempt(now, id, &server, &outcome);
+        match outcome {
             AttemptOutcome::Answered { answer, used } => {
                 self.finish_answered(now, id, answer, used)
             }
             AttemptOutcome::ClientGone => {
                 self.drop_request(now, id, u64::MAX, Some(Ending::OutcomeUnknown));
             }
-            AttemptOutcome::NotRun { .. } => self.try_again(now, id),
-            _ => self.after_failure(now, id, &server, &end),
+            AttemptOutcome::NotRun { .. } => self.retry_not_run(now, id),
+            _ => self.retry_or_fail(now, id, &server, &outcome),
         }
-        self.pump(now);
+        self.dispatch_queued(now);
         self.flush(now);
     }
 
-    /// Ends every request at once with what is known of it.
+    /// Aborts every open request with what is known about its execution.
     pub fn abort_requests(&mut self, now: Instant) {
         let open: Vec<(RequestId, bool)> = self
             .requests
@@ -140,25 +141,25 @@
             .map(|(id, request)| (id, matches!(request.stage, Stage::Running { .. })))
             .collect();
         for (id, running) in open {
-            let message = "the instance ends; look up another address";
+            let message = "the instance is shutting down; look up another address";
             let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
             let refusal = if running {
                 refusal.with_ending(Ending::OutcomeUnknown)
             } else {
-                refusal.with_retry_after(BUSY_RETRY)
+                refusal.with_retry_after(BUSY_RETRY_DELAY)
             };
             self.refuse(now, id, refusal);
         }
         self.flush(now);
     }
 
-    pub(super) fn check_view(&self, now: Instant) -> Result<(), Refusal> {
-        if self.knows_keys(now) {
+    pub(super) fn check_keys(&self, now: Instant) -> Result<(), Refusal> {
+        if self.can_check_keys(now) {
             return Ok(());
         }
-        let message = "this instance can't confirm the keys in force; look up another address";
+        let message = "this instance can't verify API keys at the moment; look up another address";
         let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
-        Err(refusal.with_retry_after(BUSY_RETRY))
+        Err(refusal.with_retry_after(BUSY_RETRY_DELAY))
     }
 
     pub(super) fn check_submission(
@@ -184,7 +185,7 @@
         };
         if submission.cost() > org.burst {
             let message = format!(
-                "prompt and max_tokens come to {} tokens, above your burst of {}; lower max_tokens",
+                "prompt and max_tokens add up to {} tokens, above your burst of {}; lower max_tokens",
                 submission.cost(),
                 org.burst
             );
@@ -200,16 +201,19 @@
         self.check_wait(now, submission)
     }
 
-    // A request that can't be started before its deadline is refused at once.
+    // Rejects a request at once if it can't be expected to start before its deadline.
     pub(super) fn check_wait(&self, now: Instant, submission: &Submission) -> Result<(), Refusal> {
         let name = submission.queue_name();
         let ahead = self.queue.waiting_for(&name);
-        let estimate = self.waits.get(&name).and_then(|wait| wait.wait(ahead));
+        let estimate = self
+            .wait_estimates
+            .get(&name)
+            .and_then(|wait| wait.wait(ahead));
         let left = submission.deadline.saturating_duration_since(now);
         match estimate {
             Some(wait) if ahead > 0 && wait > left => {
                 let message = format!(
-                    "the wait of about {} ms is beyond the deadline; come back later",
+                    "the expected wait of about {} ms exceeds the deadline; retry later",
                     wait.as_millis()
                 );
                 let refusal = Refusal::not_run(RefusalKind::Overloaded, message);
@@ -219,7 +223,7 @@
         }
     }
 
-    pub(super) fn run_tokens(&mut self, now: Instant) {
+    pub(super) fn request_tokens(&mut self, now: Instant) {
         let state = &self.state;
         let shards = self.settings.genesis.shards;
         let holder_of = |org: &str| {
@@ -229,21 +233,26 @@
                 fence: lease.fence,
             })
         };
-        let asks = self.tokens.asks(now, holder_of);
-        for (to, ask) in asks {
-            self.send(now, &to, Message::TokenAsk(ask));
+        let requests = self.tokens.due_requests(now, holder_of);
+        for (to, request) in requests {
+            self.send(now, &to, Message::TokenAsk(request));
         }
     }
 
-    /// Puts a request with its tokens into the queue.
-    pub(super) fn enqueue(&mut self, now: Instant, id: RequestId, reservation: Reservation) {
+    /// Queues a request together with its reserved tokens.
+    pub(super) fn enqueue_reserved(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        reservation: Reservation,
+    ) {
         if let Some(request) = self.requests.get_mut(id) {
             request.reservation = Some(reservation);
         }
-        self.enqueue_free(now, id);
+        self.enqueue(now, id);
     }
 
-    pub(super) fn enqueue_free(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn enqueue(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -265,8 +274,8 @@
         }
     }
 
-    /// Gives waiting requests to servers as long as there are free slots.
-    pub(super) fn pump(&mut self, now: Instant) {
+    /// Starts queued requests as long as servers have free slots.
+    pub(super) fn dispatch_queued(&mut self, now: Instant) {
         if self.queue.is_empty() {
             return;
         }
@@ -276,7 +285,7 @@
             let mut queue =
                 std::mem::replace(&mut self.queue, apricotwell_admission::FairQueue::new(0));
             let popped = queue.pop(|entry| {
-                chosen = self.choose(now, entry, &mut cache);
+                chosen = self.choose_server(now, entry, &mut cache);
                 chosen.is_some()
             });
             self.queue = queue;
@@ -284,13 +293,13 @@
                 return;
             };
             let others = self.queue.waiting_for(&entry.model) > 0;
-            let wait = self.waits.entry(entry.model.clone()).or_default();
+            let wait = self.wait_estimates.entry(entry.model.clone()).or_default();
             wait.note_start(now, others);
-            self.start(now, entry.request, server, replica);
+            self.start_attempt(now, entry.request, server, replica);
         }
     }
 
-    pub(super) fn choose(
+    pub(super) fn choose_server(
         &self,
         now: Instant,
         entry: &Waiting,
@@ -301,7 +310,8 @@
             .or_insert_with(|| self.candidates(now, &entry.model));
         let request = self.requests.get(entry.request)?;
         let prefix = request.submission.prefix;
-        // A body that was running when a server crashed goes where it can do least harm.
+        // A body that was running when a server crashed may only go to an idle server, so that
+        // another crash hits no other request.
         let is_suspect = self.state.crashes(request.submission.body_digest) > 0;
         let servers: Vec<Candidate> = candidates
             .iter()
@@ -315,7 +325,7 @@
         Some((server, found.1))
     }
 
-    // The present version where it is loaded; an older one until then.
+    // Replicas of the current version if any is loaded, otherwise those of older versions.
     pub(super) fn candidates(
         &self,
         now: Instant,
@@ -331,12 +341,12 @@
                 && self.servers.is_usable(now, &self.state, &replica.server)
         });
         let loaded: Vec<_> = loaded.collect();
-        let has_present = loaded
+        let has_current = loaded
             .iter()
             .any(|(_, replica)| Some(&replica.version) == version.as_ref());
         loaded
             .into_iter()
-            .filter(|(_, replica)| !has_present || Some(&replica.version) == version.as_ref())
+            .filter(|(_, replica)| !has_current || Some(&replica.version) == version.as_ref())
             .filter_map(|(id, replica)| {
                 let server = ledger.server(&replica.server)?;
                 let pool = self.state.pool(&server.pool)?;
@@ -371,7 +381,7 @@
             .collect()
     }
 
-    pub(super) fn start(
+    pub(super) fn start_attempt(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -381,7 +391,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        if let Some(refusal) = self.check_again(&request.submission) {
+        if let Some(refusal) = self.recheck(&request.submission) {
             self.refuse(now, id, refusal);
             return;
         }
@@ -400,14 +410,14 @@
         }
         if needs_claim {
             request.stage = Stage::Claiming { server };
-            self.ask_claim(now, id);
+            self.request_claim(now, id);
         } else {
             self.dispatch(now, id, server, replica);
         }
     }
 
-    // Keys and quarantine may have changed while the request waited.
-    pub(super) fn check_again(&self, submission: &Submission) -> Option<Refusal> {
+    // The API key may have been withdrawn or the body quarantined while the request waited.
+    pub(super) fn recheck(&self, submission: &Submission) -> Option<Refusal> {
         let withdrawn = submission
             .api_key
             .is_some_and(|key| self.state.key(&key).is_none());
@@ -442,7 +452,7 @@
         };
         let Some(address) = address else {
             self.router.release(&server);
-            self.enqueue_free(now, id);
+            self.enqueue(now, id);
             return;
         };
         request.attempts += 1;
@@ -454,7 +464,7 @@
         let attempt = request.attempt.clone();
         let remaining = request.submission.deadline.saturating_duration_since(now);
         if request.attempts == 1 {
-            let budget = self.budgets.entry((org, model.clone())).or_default();
+            let budget = self.retry_budgets.entry((org, model.clone())).or_default();
             budget.deposit();
         }
         let event = Event::new(EventKind::RequestDispatched)
@@ -462,7 +472,7 @@
             .with_model(model.to_string())
             .with_server(server.to_string())
             .with_detail(attempt.clone());
-        self.event(now, event);
+        self.emit(now, event);
         self.actions.push(Action::Dispatch(Dispatch {
             request: id,
             attempt,
@@ -489,22 +499,22 @@
         found.map(|listed| listed.address.clone())
     }
 
-    pub(super) fn note_attempt_end(
+    pub(super) fn finish_attempt(
         &mut self,
         now: Instant,
         id: RequestId,
         server: &ServerId,
-        end: &AttemptOutcome,
+        outcome: &AttemptOutcome,
     ) {
-        let is_fine = matches!(
-            end,
+        let is_healthy = matches!(
+            outcome,
             AttemptOutcome::Answered { .. } | AttemptOutcome::ClientGone | AttemptOutcome::Failed
         );
-        self.router.note_end(now, server, is_fine);
-        if let AttemptOutcome::NotRun { unreachable: true } = end {
-            self.servers.avoid(now, server);
+        self.router.note_end(now, server, is_healthy);
+        if let AttemptOutcome::NotRun { unreachable: true } = outcome {
+            self.servers.mark_unreachable(now, server);
         }
-        let detail = match end.ending() {
+        let detail = match outcome.ending() {
             None => "answered",
             Some(ending) => ending.as_str(),
         };
@@ -512,14 +522,14 @@
             .with_request(self.request_name(id))
             .with_server(server.to_string())
             .with_detail(detail);
-        self.event(now, event);
+        self.emit(now, event);
     }
 
     pub(super) fn finish_answered(
         &mut self,
         now: Instant,
         id: RequestId,
-        kept: crate::StoredAnswer,
+        answer: crate::StoredAnswer,
         used: Option<u64>,
     ) {
         let Some(request) = self.requests.get(id) else {
@@ -527,56 +537,57 @@
         };
         let used = used.unwrap_or(u64::MAX);
         if request.claimed {
-            let outcome = Outcome::Answered(recorded_answer(kept));
-            self.tell_outcome(now, id, &outcome);
+            let outcome = Outcome::Answered(recorded_answer(answer));
+            self.report_outcome(now, id, &outcome);
         }
         let event = Event::new(EventKind::RequestAnswered).with_request(self.request_name(id));
-        self.event(now, event);
-        self.forget_request(id, used);
+        self.emit(now, event);
+        self.remove_request(id, used);
     }
 
-    // The request went to no server, so even a non-idempotent one may go to another.
-    pub(super) fn try_again(&mut self, now: Instant, id: RequestId) {
+    // The request did not run, so even a non-idempotent one may go to another server.
+    pub(super) fn retry_not_run(&mut self, now: Instant, id: RequestId) {
         let event = Event::new(EventKind::RequestRetried).with_request(self.request_name(id));
-        self.event(now, event);
+        self.emit(now, event);
         let late = self
             .requests
             .get(id)
             .is_some_and(|request| now >= request.submission.deadline);
         if late {
-            self.refuse_late(now, id);
+            self.refuse_expired(now, id);
         } else {
-            self.enqueue_free(now, id);
+            self.enqueue(now, id);
         }
     }
 
-    /// Lets requests go on whose server's crash is confirmed or excluded.
-    pub(super) fn release_cooling(&mut self, now: Instant, checked: &ServerId) {
-        let cooled: Vec<RequestId> = self
+    /// Requeues the requests that waited for the crash check of a server.
+    pub(super) fn resume_checked(&mut self, now: Instant, checked: &ServerId) {
+        let resumed: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, request)| matches!(&request.stage, Stage::Cooling { server, .. } if server == checked))
+            .filter(|(_, request)| matches!(&request.stage, Stage::CheckingCrash { server, .. } if server == checked))
             .map(|(id, _)| id)
             .collect();
-        for id in cooled {
-            self.enqueue_free(now, id);
+        for id in resumed {
+            self.enqueue(now, id);
         }
     }
 
-    // The first request that waits for a model must not wait for the next round of demand.
-    pub(super) fn tell_first_demand(&mut self, now: Instant, id: RequestId) {
+    // The first waiting request for a model triggers a demand report at once, so that its load is
+    // not delayed until the next period.
+    pub(super) fn send_first_demand(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let waits = matches!(request.stage, Stage::Queued);
         if waits && self.queue.waiting_for(&request.submission.queue_name()) == 1 {
             self.next_demand = now;
-            self.tell_demand(now);
+            self.send_demand(now);
         }
     }
 
-    /// Tells the holders of models in use who waits and who runs.
-    pub(super) fn tell_demand(&mut self, now: Instant) {
+    /// Reports the waiting and running requests of each model to its lease holder.
+    pub(super) fn send_demand(&mut self, now: Instant) {
         if now < self.next_demand {
             return;
         }
@@ -614,7 +625,7 @@
         }
     }
 
-    /// Returns the models that an organisation may call, in order of name.
+    /// Returns the models and adapters that an organisation may call, sorted by name.
     pub fn models_of(&self, org: &OrgId) -> Vec<String> {
         let mut names: Vec<String> = self
             .state
@@ -635,5 +646,5 @@
 
 fn queue_refusal(full: QueueFull) -> Refusal {
     let refusal = Refusal::not_run(RefusalKind::Overloaded, full.to_string());
-    refusal.with_retry_after(BUSY_RETRY)
+    refusal.with_retry_after(BUSY_RETRY_DELAY)
 }
