--- a/crates/apricotwell_claims/src/lib.rs
+++ b/crates/apricotwell_claims/src/lib.rs
@@ -1,9 +1,9 @@
 //! At-most-once claims on idempotency keys.
 //!
-//! The holder of a claim shard folds the shard's stream into a [`ClaimTable`]. A request may be
-//! dispatched only once its own `Claimed` record was read back and won. A holder whose lease has
-//! moved finds the next holder's `Opened` record before its own claim and so never grants on a
-//! stale view. See `docs/design/claims.md`.
+//! The lease holder of a claim shard applies the records of the shard's stream to a [`ClaimTable`].
+//! A request may be dispatched only after its own `Claimed` record has been read back and has won.
+//! A holder that has lost its lease reads the next holder's `Opened` record before its own claim,
+//! so it never grants a claim from a stale view. See `docs/design/claims.md`.
 //!
 //! # Examples
 //!
@@ -25,7 +25,7 @@
 pub use apricotwell_types::BodyDigest;
 pub use table::{ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
 
-/// What nearly every user of the crate needs.
+/// Items that most users of the crate need.
 pub mod prelude {
     pub use crate::{BodyDigest, ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
 }
--- a/crates/apricotwell_claims/src/table.rs
+++ b/crates/apricotwell_claims/src/table.rs
@@ -1,42 +1,42 @@
-//! Fold of a claim stream.
+//! Table of the claims on one shard, built from the records of its stream.
 
 use std::collections::BTreeMap;
 
 use apricotwell_records::{ClaimBody, ClaimRecord, Claimed, Finished};
 use apricotwell_types::{BodyDigest, Ending, Fence, Offset};
 
-/// Answer that is replayed to a repeat.
+/// Answer recorded for an attempt, to be replayed to retries of the same request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// Body; empty when it was too large to keep.
+    /// Body; empty if it was too large to store.
     pub body: Vec<u8>,
 }
 
-/// How a claimed attempt ended.
+/// Outcome of a claimed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The caller got an answer.
+    /// The client received an answer.
     Answered(RecordedAnswer),
-    /// No answer, with what is known of the run.
+    /// The client received no answer; contains what is known about the execution.
     NoAnswer(Ending),
 }
 
-/// What a request with an idempotency key may do.
+/// Decision on an attempt that claims an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nobody holds the key.
+    /// No attempt holds the key.
     Free,
-    /// This attempt holds the key and may dispatch once.
+    /// The attempt itself holds the key and may be dispatched once.
     Granted,
-    /// The attempt named here holds the key and has not ended.
+    /// The contained attempt holds the key and has not ended.
     Held(String),
-    /// An attempt with this key and body ended.
+    /// An attempt with this key and body has ended with the contained outcome.
     Ended(ClaimOutcome),
-    /// The key came with another body.
+    /// The key is already in use for a different body.
     OtherBody,
 }
 
@@ -49,12 +49,12 @@
     offset: Offset,
 }
 
-/// Claims of one shard.
+/// Claims on the idempotency keys of one shard.
 ///
 /// # Invariants
 ///
-/// A key has at most one claim; the first in log order under a valid fence wins. A claim that
-/// ended as not run is removed, since its key may run again.
+/// A key has at most one claim: the first one in log order with a valid fence wins. A claim whose
+/// request did not run is removed, because the request may be retried under the same key.
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     fence: Fence,
@@ -63,7 +63,7 @@
 }
 
 impl ClaimTable {
-    /// Returns the highest fence opened so far.
+    /// Returns the highest fence for which an `Opened` record was applied.
     pub fn fence(&self) -> Fence {
         self.fence
     }
@@ -78,12 +78,14 @@
         self.claims.len()
     }
 
-    /// Returns whether there are no claims.
+    /// Returns whether the table has no claims.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Applies the record at `offset`; returns whether it had an effect.
+    /// Applies the record at `offset` and returns whether it had an effect.
+    ///
+    /// Records that were applied before and records with an outdated fence have no effect.
     pub fn apply(&mut self, offset: Offset, record: &ClaimRecord) -> bool {
         if offset < self.next() {
             return false;
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Returns what attempt `attempt` with this key and body may do.
+    /// Returns the decision on `attempt` with this key and body.
     pub fn verdict(&self, key: BodyDigest, body: BodyDigest, attempt: &str) -> Verdict {
         let Some(claim) = self.claims.get(&key) else {
             return Verdict::Free;
@@ -122,25 +124,27 @@
         Verdict::Held(claim.attempt.clone())
     }
 
-    /// Returns whether `attempt` holds a key and has not ended.
+    /// Returns whether `attempt` holds `key` and has not ended.
     pub fn is_running(&self, key: BodyDigest, attempt: &str) -> bool {
         let claim = self.claims.get(&key);
         claim.is_some_and(|claim| claim.attempt == attempt && claim.outcome.is_none())
     }
 
-    /// Skips records that the log has dropped.
+    /// Skips the records below `first`, which the log has dropped.
     pub fn skip_to(&mut self, first: Offset) {
         self.next = self.next.max(first);
     }
 
-    /// Forgets claims written before `before`, in milliseconds since the Unix epoch.
-    pub fn remove_expired(&mut self, before: u64) {
-        self.claims.retain(|_, claim| claim.written >= before);
+    /// Removes claims written before `oldest`, in milliseconds since the Unix epoch.
+    pub fn remove_expired(&mut self, oldest: u64) {
+        self.claims.retain(|_, claim| claim.written >= oldest);
     }
 
-    /// Returns records that write the claims below `offset` anew, before the log drops them.
+    /// Returns records that repeat the claims below `offset`, to append before the log drops those.
+    ///
+    /// At most `limit` claims are repeated, each with its outcome if it has one.
     pub fn republish(&self, offset: Offset, limit: usize) -> Vec<ClaimRecord> {
-        let old = self
+        let old_claims = self
             .claims
             .iter()
             .filter(|(_, claim)| claim.offset < offset);
@@ -154,12 +158,12 @@
                 .outcome
                 .as_ref()
                 .map(|outcome| finished_record(*key, &claim.attempt, outcome));
-            let first = self.record(claim.written, ClaimBody::Claimed(claimed));
-            let second =
+            let claim_record = self.record(claim.written, ClaimBody::Claimed(claimed));
+            let outcome_record =
                 finished.map(|finished| self.record(claim.written, ClaimBody::Finished(finished)));
-            [Some(first), second].into_iter().flatten()
+            [Some(claim_record), outcome_record].into_iter().flatten()
         };
-        old.take(limit).flat_map(records).collect()
+        old_claims.take(limit).flat_map(records).collect()
     }
 
     fn record(&self, written: u64, body: ClaimBody) -> ClaimRecord {
@@ -176,10 +180,10 @@
         let (Some(key), Some(body)) = (key, body) else {
             return false;
         };
-        if let Some(known) = self.claims.get_mut(&key) {
-            // The same claim written anew moves its place in the log and nothing else.
-            if known.attempt == claimed.attempt {
-                known.offset = offset;
+        if let Some(existing) = self.claims.get_mut(&key) {
+            // A repeated record of the same claim only changes the claim's offset.
+            if existing.attempt == claimed.attempt {
+                existing.offset = offset;
             }
             return false;
         }
@@ -240,7 +244,7 @@
 }
 
 impl ClaimOutcome {
-    /// Returns the record that tells this outcome of an attempt.
+    /// Returns the record that reports this outcome of `attempt`.
     pub fn to_record(&self, key: BodyDigest, attempt: &str) -> Finished {
         finished_record(key, attempt, self)
     }
--- a/crates/apricotwell_claims/tests/table.rs
+++ b/crates/apricotwell_claims/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which claim records have an effect.
+//! Effects of claim records on the table.
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
 use apricotwell_records::{ClaimBody, ClaimRecord, Claimed, Finished, Opened};
@@ -32,7 +32,7 @@
     }
 }
 
-fn fold(records: &[ClaimRecord]) -> ClaimTable {
+fn apply_all(records: &[ClaimRecord]) -> ClaimTable {
     let mut table = ClaimTable::default();
     for (offset, record) in (1..).zip(records) {
         table.apply(offset, record);
@@ -41,11 +41,11 @@
 }
 
 #[test]
-fn a_claim_of_an_ended_term_is_void() {
-    let table = fold(&[opened(4), opened(9), claimed(4, "old")]);
+fn a_claim_with_an_outdated_fence_has_no_effect() {
+    let table = apply_all(&[opened(4), opened(9), claimed(4, "old")]);
     assert_eq!(table.verdict(KEY, BODY, "old"), Verdict::Free);
     assert_eq!(table.fence(), 9);
-    let table = fold(&[opened(4), claimed(4, "old"), opened(9), claimed(9, "new")]);
+    let table = apply_all(&[opened(4), claimed(4, "old"), opened(9), claimed(9, "new")]);
     assert_eq!(table.verdict(KEY, BODY, "old"), Verdict::Granted);
     assert_eq!(
         table.verdict(KEY, BODY, "new"),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_first_claim_wins_and_its_first_end_stays() {
+fn the_first_claim_and_its_first_outcome_win() {
     let answer = RecordedAnswer {
         status: 200,
         content_type: "text/plain".to_owned(),
@@ -62,7 +62,7 @@
     };
     let answered = ClaimOutcome::Answered(answer.clone());
     let unknown = ClaimOutcome::NoAnswer(Ending::OutcomeUnknown);
-    let table = fold(&[
+    let table = apply_all(&[
         opened(1),
         claimed(1, "a"),
         claimed(1, "b"),
@@ -80,7 +80,7 @@
 #[test]
 fn a_claim_that_ended_as_not_run_frees_its_key() {
     let not_run = ClaimOutcome::NoAnswer(Ending::NotRun);
-    let table = fold(&[
+    let table = apply_all(&[
         opened(1),
         claimed(1, "a"),
         finished(1, "a", &not_run),
@@ -90,36 +90,39 @@
 }
 
 #[test]
-fn claims_written_anew_give_the_same_table() {
+fn republished_claims_rebuild_the_same_table() {
     let failed = ClaimOutcome::NoAnswer(Ending::FailedAfterRun);
-    let mut table = fold(&[opened(1), claimed(1, "a"), finished(1, "a", &failed)]);
-    let again = table.republish(10, 100);
-    assert_eq!(again.len(), 2);
-    for (offset, record) in (20..).zip(&again) {
+    let mut table = apply_all(&[opened(1), claimed(1, "a"), finished(1, "a", &failed)]);
+    let republished = table.republish(10, 100);
+    assert_eq!(republished.len(), 2);
+    for (offset, record) in (20..).zip(&republished) {
         table.apply(offset, record);
     }
     assert!(table.republish(10, 100).is_empty());
-    let mut later = ClaimTable::default();
-    later.skip_to(20);
-    for (offset, record) in (20..).zip(&again) {
-        later.apply(offset, record);
+    let mut rebuilt = ClaimTable::default();
+    rebuilt.skip_to(20);
+    for (offset, record) in (20..).zip(&republished) {
+        rebuilt.apply(offset, record);
     }
-    assert_eq!(later.verdict(KEY, BODY, "x"), Verdict::Ended(failed));
-    assert_eq!(later.verdict(KEY, BODY, "x"), table.verdict(KEY, BODY, "x"));
+    assert_eq!(rebuilt.verdict(KEY, BODY, "x"), Verdict::Ended(failed));
+    assert_eq!(
+        rebuilt.verdict(KEY, BODY, "x"),
+        table.verdict(KEY, BODY, "x")
+    );
 }
 
 #[test]
 fn malformed_records_have_no_effect() {
-    let short = ClaimBody::Claimed(Claimed {
+    let short_digests = ClaimBody::Claimed(Claimed {
         key: vec![1],
         body: vec![2],
         attempt: "a".to_owned(),
     });
-    let lost = ClaimBody::Finished(Finished::default());
-    let table = fold(&[
+    let empty_outcome = ClaimBody::Finished(Finished::default());
+    let table = apply_all(&[
         opened(1),
-        record(1, short),
-        record(1, lost),
+        record(1, short_digests),
+        record(1, empty_outcome),
         ClaimRecord::default(),
     ]);
     assert!(table.is_empty());
--- a/crates/apricotwell_leases/src/lib.rs
+++ b/crates/apricotwell_leases/src/lib.rs
@@ -1,7 +1,7 @@
-//! Freshness of an instance's view and leases on duty shards.
+//! Freshness of an instance's view of the log, and leases on shards.
 //!
-//! No record is written to renew a lease: a successful read up to the end of the log renews all of
-//! a holder's leases, since a takeover would have been in that read. The scheme and its proof are
+//! Renewing a lease writes no record: a successful read up to the end of the log renews all leases
+//! of a holder, because the read would have returned any takeover. The protocol and its proof are
 //! in `docs/design/leases.md`.
 //!
 //! # Examples
@@ -25,7 +25,7 @@
 pub use own_leases::{LeaseState, OwnLeases};
 pub use planner::{LeasePlan, LiveMember, plan_leases};
 
-/// What nearly every user of the crate needs.
+/// Items that most users of the crate need.
 pub mod prelude {
     pub use crate::{
         Evidence, Freshness, LeasePlan, LeaseState, LiveMember, OwnLeases, View, plan_leases,
--- a/crates/apricotwell_leases/src/own_leases.rs
+++ b/crates/apricotwell_leases/src/own_leases.rs
@@ -1,4 +1,4 @@
-//! Whether this instance may act on a duty shard right now.
+//! Which shards this instance may act on.
 
 use std::time::{Duration, Instant};
 
@@ -7,63 +7,64 @@
 
 use crate::Freshness;
 
-/// Share of the window that a holder gives up early, against clocks that run apart.
+/// Margin for clock drift, as a divisor of the window. A holder stops that much earlier, and a new
+/// holder waits that much longer.
 const DRIFT_DIVISOR: u32 = 20;
 
-/// Whether this instance may act on a duty shard.
+/// State of this instance's lease on a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// Another instance holds the shard, or the view has lapsed.
+    /// Another instance holds the lease, or this instance's view of the log has expired.
     NotHeld,
-    /// The lease is recorded, but its previous holder may still act.
+    /// The lease is recorded, but the previous holder may still act on the shard.
     Waiting,
     /// This instance may act until `until`.
     Held {
-        /// Fencing number of the lease.
+        /// Fencing token of the lease.
         fence: Fence,
-        /// When this stops being known.
+        /// When the right to act expires unless the view is confirmed again.
         until: Instant,
-        /// When the wait for the previous holder was over.
+        /// When the lease became effective.
         since: Instant,
     },
 }
 
-/// Tracks since when each lease of this instance has been effective.
+/// Leases of this instance, and since when each of them has been effective.
 ///
 /// # Invariants
 ///
-/// A lease that its previous holder did not hand over is effective only a full window after most
-/// members had applied it: until then the previous holder may act on members' statements that the
-/// log is down.
+/// A lease that its previous holder did not hand over becomes effective only a full window after a
+/// majority of the members has applied it. Until then the previous holder may still act, relying on
+/// evidence from members that the log is down.
 #[derive(Debug)]
 pub struct OwnLeases {
-    me: InstanceId,
+    own_id: InstanceId,
     incarnation: Incarnation,
-    effective: Map<Shard, Effective>,
+    leases: Map<Shard, OwnLease>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Effective {
+struct OwnLease {
     fence: Fence,
-    // When most members were seen to have applied the lease.
-    seen: Option<Instant>,
+    // When a majority of the members was first seen to have applied the lease.
+    majority_at: Option<Instant>,
     // When the lease became effective.
     since: Option<Instant>,
-    // Whether a handover has been sent to the log, so that it may be recorded at any time.
+    // Whether this instance stopped acting because a handover may be recorded at any time.
     released: bool,
 }
 
 impl OwnLeases {
-    /// Returns the standings of an instance that holds nothing yet.
-    pub fn new(me: InstanceId, incarnation: Incarnation) -> Self {
+    /// Returns the leases of an instance that holds none yet.
+    pub fn new(own_id: InstanceId, incarnation: Incarnation) -> Self {
         Self {
-            me,
+            own_id,
             incarnation,
-            effective: Map::default(),
+            leases: Map::default(),
         }
     }
 
-    /// Brings the standings up to date with the state and the freshness.
+    /// Updates the leases from the state and the freshness of the view.
     pub fn refresh(
         &mut self,
         now: Instant,
@@ -71,31 +72,32 @@
         freshness: &Freshness,
         members: &[InstanceId],
     ) {
-        let mut held = Map::default();
+        let mut own = Map::default();
         for (shard, lease) in state.leases().iter() {
-            if *lease.holder != *self.me || lease.incarnation != self.incarnation {
+            if *lease.holder != *self.own_id || lease.incarnation != self.incarnation {
                 continue;
             }
-            let known = self.effective.get(&shard).copied();
-            let mut entry = known
+            let existing = self.leases.get(&shard).copied();
+            let mut entry = existing
                 .filter(|entry| entry.fence == lease.fence)
-                .unwrap_or(Effective {
+                .unwrap_or(OwnLease {
                     fence: lease.fence,
-                    seen: None,
+                    majority_at: None,
                     since: lease.handed.then_some(now),
                     released: false,
                 });
             if entry.since.is_none() {
-                advance(&mut entry, now, freshness, members, &self.me);
+                update_effective(&mut entry, now, freshness, members, &self.own_id);
             }
-            held.insert(shard, entry);
+            own.insert(shard, entry);
         }
-        self.effective = held;
+        self.leases = own;
     }
 
-    /// Returns whether this instance may act on `shard`; ask again immediately before each effect.
+    /// Returns the state of this instance's lease on `shard`.
     ///
-    /// `until` comes from [`Freshness::leases_until`].
+    /// It can change at any time, so check it immediately before each side effect. `until` is the
+    /// result of [`Freshness::leases_until`].
     pub fn check(
         &self,
         now: Instant,
@@ -103,7 +105,7 @@
         until: Option<Instant>,
         window: Duration,
     ) -> LeaseState {
-        let Some(entry) = self.effective.get(&shard) else {
+        let Some(entry) = self.leases.get(&shard) else {
             return LeaseState::NotHeld;
         };
         if entry.released {
@@ -126,43 +128,47 @@
         }
     }
 
-    /// Returns the shards of this instance's recorded leases, effective or not.
+    /// Returns the shards of this instance's recorded leases, including those not effective yet.
     pub fn shards(&self) -> Vec<Shard> {
-        let mut shards: Vec<Shard> = self.effective.keys().copied().collect();
+        let mut shards: Vec<Shard> = self.leases.keys().copied().collect();
         shards.sort_unstable();
         shards
     }
 
-    /// Gives up a shard at once, before its handover is sent to the log.
+    /// Stops acting on a shard. Call it before the handover is sent to the log.
     pub fn release(&mut self, shard: Shard) {
-        if let Some(entry) = self.effective.get_mut(&shard) {
+        if let Some(entry) = self.leases.get_mut(&shard) {
             entry.released = true;
         }
     }
 
-    /// Takes released shards back, once the log has definitely not taken their handovers.
+    /// Undoes [`OwnLeases::release`] for all shards.
+    ///
+    /// Call it only if the log has definitely rejected their handovers.
     pub fn restore(&mut self) {
-        for entry in self.effective.values_mut() {
+        for entry in self.leases.values_mut() {
             entry.released = false;
         }
     }
 }
 
-fn advance(
-    entry: &mut Effective,
+fn update_effective(
+    entry: &mut OwnLease,
     now: Instant,
     freshness: &Freshness,
     members: &[InstanceId],
-    me: &str,
+    own_id: &str,
 ) {
     let window = freshness.window();
-    match entry.seen {
+    match entry.majority_at {
         None => {
-            if freshness.majority_applied(now, members, me, entry.fence) {
-                entry.seen = Some(now);
+            if freshness.majority_applied(now, members, own_id, entry.fence) {
+                entry.majority_at = Some(now);
             }
         }
-        Some(seen) if now >= seen + window + window / DRIFT_DIVISOR => entry.since = Some(now),
+        Some(majority_at) if now >= majority_at + window + window / DRIFT_DIVISOR => {
+            entry.since = Some(now)
+        }
         Some(_) => {}
     }
 }
--- a/crates/apricotwell_leases/src/planner.rs
+++ b/crates/apricotwell_leases/src/planner.rs
@@ -1,4 +1,4 @@
-//! Which leases this instance should take or hand over.
+//! Plans which leases this instance should take or hand over.
 
 use std::collections::BTreeMap;
 
@@ -6,87 +6,88 @@
 use apricotwell_state::State;
 use apricotwell_types::{Incarnation, InstanceId, Shard, rendezvous_owner};
 
-/// Shards moved by one record, so that a joining member does not upset all duties at once.
-const MAX_MOVES: usize = 8;
+/// Shards handed over by one plan, so that a joining member does not disrupt all shards at once.
+const MAX_HANDOVERS: usize = 8;
 
-/// Member that may hold leases.
+/// Member of the fleet that is able to hold leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveMember {
-    /// Instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Start number.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Whether it drains: it gets no leases and hands over those that it has.
+    /// Whether it is draining: it gets no new leases and hands over those that it has.
     pub draining: bool,
 }
 
 /// Lease records that this instance should append.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeasePlan {
-    /// Shards without a live holder that this instance takes.
+    /// Shards without a live holder that this instance takes over.
     pub takeover: Option<Take>,
-    /// Shards that this instance hands to their new owners.
+    /// Shards that this instance hands over, one record for each new owner.
     pub handovers: Vec<Take>,
 }
 
-/// Plans leases from the state and the live members.
+/// Plans the lease records that this instance should append.
 ///
-/// `live` holds those members that are neither dead nor suspected for long, `me` included. A member
-/// that leaves is given the time to hand over by itself, which spares the wait of a takeover.
-/// `can_hand_over` tells which held shards may be
-/// handed on.
+/// `live` are the members that are neither dead nor cut off from the log for long, including this
+/// instance, `own_id`. Draining members are included too: they hand over their leases themselves,
+/// which avoids the wait of a takeover.
+/// `can_hand_over` returns whether a shard that this instance holds may be handed over now.
 pub fn plan_leases<F>(
     state: &State,
     live: &[LiveMember],
-    me: &str,
+    own_id: &str,
     incarnation: Incarnation,
     can_hand_over: F,
 ) -> LeasePlan
 where
     F: Fn(Shard) -> bool,
 {
-    let mut take = Take {
-        holder: me.to_owned(),
+    let mut takeover = Take {
+        holder: own_id.to_owned(),
         incarnation,
         ..Take::default()
     };
-    let mut hand: BTreeMap<&str, Take> = BTreeMap::new();
-    let mut moves = 0;
+    let mut handovers: BTreeMap<&str, Take> = BTreeMap::new();
+    let mut handed_over = 0;
     for shard in 0..state.genesis().shards {
         let Some(owner) = owner_of(shard, live) else {
             continue;
         };
         let lease = state.lease(shard);
         let fence = lease.map_or(0, |lease| lease.fence);
-        let held_by_me =
-            lease.is_some_and(|lease| *lease.holder == *me && lease.incarnation == incarnation);
-        let holder_lives = lease.is_some_and(|lease| {
+        let is_holder =
+            lease.is_some_and(|lease| *lease.holder == *own_id && lease.incarnation == incarnation);
+        let has_live_holder = lease.is_some_and(|lease| {
             live.iter()
                 .any(|member| member.id == lease.holder && member.incarnation == lease.incarnation)
         });
-        if held_by_me && *owner.id != *me && moves < MAX_MOVES && can_hand_over(shard) {
-            let entry = hand.entry(&*owner.id).or_insert_with(|| Take {
+        if is_holder && *owner.id != *own_id && handed_over < MAX_HANDOVERS && can_hand_over(shard)
+        {
+            let entry = handovers.entry(&*owner.id).or_insert_with(|| Take {
                 holder: owner.id.to_string(),
                 incarnation: owner.incarnation,
                 ..Take::default()
             });
             entry.shards.push(shard);
             entry.fences.push(fence);
-            moves += 1;
-        } else if !held_by_me && !holder_lives && *owner.id == *me {
-            take.shards.push(shard);
-            take.fences.push(fence);
+            handed_over += 1;
+        } else if !is_holder && !has_live_holder && *owner.id == *own_id {
+            takeover.shards.push(shard);
+            takeover.fences.push(fence);
         }
     }
     LeasePlan {
-        takeover: (!take.shards.is_empty()).then_some(take),
-        handovers: hand.into_values().collect(),
+        takeover: (!takeover.shards.is_empty()).then_some(takeover),
+        handovers: handovers.into_values().collect(),
     }
 }
 
 fn owner_of(shard: Shard, live: &[LiveMember]) -> Option<&LiveMember> {
-    let staying = live.iter().filter(|member| !member.draining);
-    let ids = staying.map(|member| &*member.id);
+    let candidates = live.iter().filter(|member| !member.draining);
+    let ids = candidates.map(|member| &*member.id);
     let owner = rendezvous_owner(u64::from(shard), ids)?;
     live.iter().find(|member| *member.id == *owner)
 }
--- a/crates/apricotwell_limits/src/escrow.rs
+++ b/crates/apricotwell_limits/src/escrow.rs
@@ -1,4 +1,4 @@
-//! Tokens that an instance may spend without asking.
+//! Tokens that an instance can spend without contacting the bucket.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,43 +7,43 @@
 
 use crate::{Grant, GrantId};
 
-/// Part of a grant's term after which unused tokens go back.
+/// Fraction of a grant's term, as a divisor, after which its unused tokens are returned.
 const RETURN_DIVISOR: u32 = 2;
 
-/// Tokens of one organisation lent to this instance.
+/// Tokens of one organisation that are granted to this instance.
 ///
 /// # Invariants
 ///
-/// Terms count from before the request for the grant was sent, so a grant lapses here before it
-/// does at the bucket.
+/// The term of a grant starts when its request is sent, so the grant expires here before it
+/// expires at the bucket.
 #[derive(Debug)]
 pub struct Escrow {
     session: u64,
-    grants: VecDeque<Held>,
-    finished: Tokens,
+    grants: VecDeque<HeldGrant>,
+    settled: Tokens,
     refunded: Tokens,
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldGrant {
     id: GrantId,
-    left: Tokens,
-    idle_at: Instant,
-    expires: Instant,
+    remaining: Tokens,
+    return_at: Instant,
+    expires_at: Instant,
 }
 
-/// What an instance tells the bucket.
+/// Report of an instance to the bucket about its escrow.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EscrowReport {
-    /// Number of the escrow; a later escrow of the same instance has a higher one.
+    /// Number of the session; a later escrow of the same instance has a higher one.
     pub session: u64,
-    /// Tokens left in each grant.
+    /// Tokens remaining in each grant.
     pub remaining: Vec<(GrantId, Tokens)>,
-    /// Grants given back, already reported in `left`.
+    /// Grants whose remaining tokens are returned; they are listed in `remaining` too.
     pub returned: Vec<GrantId>,
-    /// Tokens reserved by all requests that have finished in this session.
+    /// Tokens reserved by all requests of this session that have finished.
     pub settled: Tokens,
-    /// Of these, tokens that were not used.
+    /// Those of the `settled` tokens that were not used.
     pub refunded: Tokens,
 }
 
@@ -53,84 +53,89 @@
         Self {
             session,
             grants: VecDeque::new(),
-            finished: 0,
+            settled: 0,
             refunded: 0,
         }
     }
 
-    /// Returns the number of the escrow.
+    /// Returns the number of the session.
     pub fn session(&self) -> u64 {
         self.session
     }
 
-    /// Adds a grant that was asked for at `asked`.
-    pub fn add(&mut self, asked: Instant, grant: Grant) {
+    /// Adds a grant that was requested at `requested_at`; ignores a grant added before.
+    pub fn add(&mut self, requested_at: Instant, grant: Grant) {
         if self.grants.iter().any(|held| held.id == grant.id) {
             return;
         }
-        self.grants.push_back(Held {
+        self.grants.push_back(HeldGrant {
             id: grant.id,
-            left: grant.amount,
-            idle_at: asked + grant.term / RETURN_DIVISOR,
-            expires: asked + grant.term,
+            remaining: grant.amount,
+            return_at: requested_at + grant.term / RETURN_DIVISOR,
+            expires_at: requested_at + grant.term,
         });
     }
 
-    /// Returns the tokens that can be spent.
+    /// Returns the number of tokens that can be spent.
     pub fn available(&self, now: Instant) -> Tokens {
-        self.live(now).map(|held| held.left).sum()
+        self.unexpired(now).map(|held| held.remaining).sum()
     }
 
-    /// Spends `cost` tokens, or none when there are fewer.
+    /// Spends `cost` tokens and returns whether that many were available.
+    ///
+    /// Spends none if there are fewer.
     pub fn take(&mut self, now: Instant, cost: Tokens) -> bool {
         if self.available(now) < cost {
             return false;
         }
         let mut missing = cost;
-        for held in self.grants.iter_mut().filter(|held| now < held.expires) {
-            let part = held.left.min(missing);
-            held.left -= part;
-            missing -= part;
+        for held in self.grants.iter_mut().filter(|held| now < held.expires_at) {
+            let spent = held.remaining.min(missing);
+            held.remaining -= spent;
+            missing -= spent;
         }
         true
     }
 
-    /// Notes that a request which reserved `reserved` tokens used `used` of them.
+    /// Records that a finished request used `used` of the `reserved` tokens that it had reserved.
     pub fn settle(&mut self, reserved: Tokens, used: Tokens) {
-        self.finished += reserved;
+        self.settled += reserved;
         self.refunded += reserved.saturating_sub(used);
     }
 
-    /// Returns a report and gives back what has lain idle for long.
+    /// Returns a report, and drops the grants that it returns to the bucket.
     pub fn report(&mut self, now: Instant) -> EscrowReport {
-        let left = self.live(now).map(|held| (held.id, held.left)).collect();
-        let idle = |held: &Held| now >= held.idle_at && held.left > 0;
+        let remaining = self
+            .unexpired(now)
+            .map(|held| (held.id, held.remaining))
+            .collect();
+        let is_due = |held: &HeldGrant| now >= held.return_at && held.remaining > 0;
         let returned = self
-            .live(now)
-            .filter(|held| idle(held))
+            .unexpired(now)
+            .filter(|held| is_due(held))
             .map(|held| held.id)
             .collect();
-        self.grants.retain(|held| now < held.idle_at);
+        self.grants.retain(|held| now < held.return_at);
         EscrowReport {
             session: self.session,
-            remaining: left,
+            remaining,
             returned,
-            settled: self.finished,
+            settled: self.settled,
             refunded: self.refunded,
         }
     }
 
-    /// Returns when the next grant should be given back.
+    /// Returns when the next grant has to be returned.
     pub fn next_return(&self) -> Option<Instant> {
-        self.grants.iter().map(|held| held.idle_at).min()
+        self.grants.iter().map(|held| held.return_at).min()
     }
 
-    /// Returns how long a request for tokens may take before its grant is worthless.
+    /// Returns the timeout of a token request; a grant received later would be returned at once.
     pub fn request_timeout(term: Duration) -> Duration {
         term / RETURN_DIVISOR
     }
 
-    fn live(&self, now: Instant) -> impl Iterator<Item = &Held> {
-        self.grants.iter().filter(move |held| now < held.expires)
+    fn unexpired(&self, now: Instant) -> impl Iterator<Item = &HeldGrant> {
+        self.grants.iter().filter(move |held| now < held.expires_at)
     }
 }
--- a/crates/apricotwell_limits/src/lib.rs
+++ b/crates/apricotwell_limits/src/lib.rs
@@ -1,9 +1,9 @@
-//! Fleet-wide token rates by escrow.
+//! Fleet-wide token rate limits with escrowed grants.
 //!
-//! The holder of an organisation's shard keeps one [`Bucket`]. Entry instances keep an [`Escrow`]
-//! of tokens that the bucket granted for a short term, and admit requests from it without a
-//! message. A lost message or instance loses tokens and never makes them; the argument is in
-//! `docs/design/limits.md`.
+//! The lease holder of an organisation's shard owns its [`Bucket`]. Each entry instance owns an
+//! [`Escrow`] of tokens that the bucket has granted for a short term, and admits requests from it
+//! without sending a message. A lost message or a crashed instance can lose tokens but never create
+//! any; `docs/design/limits.md` explains why.
 //!
 //! # Examples
 //!
@@ -29,30 +29,31 @@
 pub use bucket::{Bucket, BucketSnapshot};
 pub use escrow::{Escrow, EscrowReport};
 
-/// What nearly every user of the crate needs.
+/// Items that most users of the crate need.
 pub mod prelude {
     pub use crate::{Bucket, BucketSnapshot, Escrow, EscrowReport, Grant, Rate};
 }
 
-/// Rate of an organisation over all instances.
+/// Rate limit of an organisation over all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
-    /// Tokens a second.
+    /// Tokens refilled per second.
     pub per_second: Tokens,
-    /// Tokens that can be used at once after a pause.
+    /// Capacity of the bucket: tokens that can be used at once after an idle period.
     pub burst: Tokens,
 }
 
-/// Number of a grant, unique for one bucket.
+/// Id of a grant, unique within its bucket.
 pub type GrantId = u64;
 
-/// Tokens that a bucket lends to an instance for a term.
+/// Tokens that a bucket grants to an instance for a limited term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Number.
+    /// Id of the grant.
     pub id: GrantId,
-    /// Tokens.
+    /// Number of tokens granted.
     pub amount: Tokens,
-    /// Term, counted by the bucket from the grant and by the instance from its request.
+    /// Time until the grant expires. The bucket counts from the grant, the instance from its
+    /// earlier request, so the grant expires first at the instance.
     pub term: std::time::Duration,
 }
--- a/crates/apricotwell_state/src/checkpoint.rs
+++ b/crates/apricotwell_state/src/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Chunked, checksummed checkpoints.
+//! Checkpoints of the state, split into chunks and protected by a checksum.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,19 +10,20 @@
 
 use crate::{Genesis, State};
 
-/// Bytes of state in one chunk.
+/// Maximum number of state bytes in one chunk.
 pub const CHUNK_BYTES: usize = 64 * 1024;
-/// Unfinished checkpoints kept while reading, against writers that stop half-way.
+/// Incomplete checkpoints kept while reading. A writer that stops half-way would otherwise leave
+/// its chunks in memory forever.
 const MAX_PARTIAL: usize = 8;
 
-/// Why a checkpoint was not used.
+/// Error while reading a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CheckpointError {
-    /// The checksum does not fit the bytes.
+    /// The checksum does not match the bytes.
     Corrupt,
-    /// The bytes are of another version.
+    /// The bytes were written by an incompatible version.
     Unreadable,
-    /// The checkpoint was begun with another root key or number of shards.
+    /// The checkpoint has a different root key or number of shards.
     GenesisMismatch,
 }
 
@@ -30,13 +31,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             CheckpointError::Corrupt => {
-                "the checkpoint's checksum does not fit; an older checkpoint is used"
+                "the checkpoint's checksum does not match; an older checkpoint is used"
             }
             CheckpointError::Unreadable => {
-                "the checkpoint is of another version; run the version that wrote it"
+                "the checkpoint is of an incompatible version; run the version that wrote it"
             }
             CheckpointError::GenesisMismatch => {
-                "the checkpoint has another root key or shard count; set [fleet] like its writer's"
+                "the checkpoint has another root key or shard count; copy [fleet] from its writer"
             }
         })
     }
@@ -50,7 +51,7 @@
     writer: &str,
     incarnation: Incarnation,
 ) -> Vec<CheckpointChunk> {
-    // The state holds only maps, texts and numbers, which always encode.
+    // The state contains only maps, strings and numbers, so encoding can't fail.
     let bytes = postcard::to_allocvec(state).unwrap_or_default();
     let checksum = Sha256::digest(&bytes).to_vec();
     let pieces: Vec<&[u8]> = bytes.chunks(CHUNK_BYTES).collect();
@@ -67,11 +68,11 @@
     pieces.iter().enumerate().map(chunk).collect()
 }
 
-/// Decodes the bytes of a whole checkpoint.
+/// Restores the state from the bytes of a whole checkpoint.
 ///
 /// # Errors
 ///
-/// Fails when the bytes are of another version or of another genesis.
+/// Fails if the bytes are of an incompatible version, or of a state with another genesis.
 pub fn restore_checkpoint(bytes: &[u8], genesis: &Genesis) -> Result<State, CheckpointError> {
     let mut state: State = postcard::from_bytes(bytes).map_err(|_| CheckpointError::Unreadable)?;
     if state.genesis() != genesis {
@@ -83,18 +84,20 @@
 
 type CheckpointKey = (Offset, String, Incarnation);
 
-/// Puts chunks together again, in whatever order and mix they come.
+/// Assembles checkpoints from their chunks.
+///
+/// Chunks may arrive in any order, and those of several checkpoints may be mixed.
 #[derive(Debug, Default)]
 pub struct CheckpointAssembler {
     partial: BTreeMap<CheckpointKey, BTreeMap<u32, CheckpointChunk>>,
 }
 
 impl CheckpointAssembler {
-    /// Takes a chunk and returns the bytes of a checkpoint that it completes.
+    /// Adds a chunk, and returns the bytes of the checkpoint if the chunk completes it.
     ///
     /// # Errors
     ///
-    /// Fails when the completed checkpoint's checksum does not fit; it is then forgotten.
+    /// Fails if the checksum of the completed checkpoint does not match; its chunks are dropped.
     pub fn push(&mut self, chunk: CheckpointChunk) -> Result<Option<Vec<u8>>, CheckpointError> {
         let key = (chunk.offset, chunk.writer.clone(), chunk.incarnation);
         let total = chunk.total as usize;
--- a/crates/apricotwell_state/src/config.rs
+++ b/crates/apricotwell_state/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration tree with versions.
+//! Versioned configuration tree.
 
 use std::collections::BTreeMap;
 
@@ -10,19 +10,19 @@
 use crate::RejectReason;
 use crate::settings::{OperatorSettings, Setting};
 
-/// Name of the operator whose key stands in every instance's settings.
+/// Name of the operator whose key is in the settings of every instance.
 pub(crate) const ROOT_OPERATOR: &str = "root";
 
-/// Value of one path.
+/// Entry of one path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntry {
     /// Offset of the change that set it.
     pub version: Offset,
     /// Number of that change.
     pub change: u64,
-    /// Operator that made it.
+    /// Operator that made the change.
     pub author: String,
-    /// TOML text; `None` once deleted.
+    /// Value as TOML text; `None` after a deletion.
     pub value: Option<String>,
 }
 
@@ -30,31 +30,31 @@
 ///
 /// # Invariants
 ///
-/// Versions of a path only grow: a deleted path keeps its entry, so that a late change that was
-/// decided on an older version still conflicts.
+/// Versions of a path only increase. A deleted path keeps its entry, so that a late change that is
+/// based on an older version still conflicts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigTree {
     entries: BTreeMap<String, ConfigEntry>,
 }
 
 impl ConfigTree {
-    /// Returns the entry of a path, deleted ones included.
+    /// Returns the entry of a path, even if its value is deleted.
     pub fn get(&self, path: &str) -> Option<&ConfigEntry> {
         self.entries.get(path)
     }
 
-    /// Returns the text of a path that has a value.
+    /// Returns the TOML text of a path; `None` if the path has no value.
     pub fn value(&self, path: &str) -> Option<&str> {
         self.entries.get(path)?.value.as_deref()
     }
 
-    /// Returns all entries in order of path, deleted ones included.
+    /// Returns all entries, including deleted ones, ordered by path.
     pub fn all_entries(&self) -> impl Iterator<Item = (&str, &ConfigEntry)> {
         let entries = self.entries.iter();
         entries.map(|(path, entry)| (path.as_str(), entry))
     }
 
-    /// Returns the present values in order of path.
+    /// Returns the entries that have a value, ordered by path.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &ConfigEntry)> {
         self.entries
             .iter()
@@ -62,7 +62,7 @@
             .map(|(path, entry)| (path.as_str(), entry))
     }
 
-    /// Applies an authorised change and returns its typed value, `None` for a deletion.
+    /// Applies an authorised change and returns the parsed value; `None` for a deletion.
     pub(crate) fn put(
         &mut self,
         offset: Offset,
@@ -93,7 +93,7 @@
         Ok(setting)
     }
 
-    /// Checks that a change was signed by its writer and lies within the writer's subtree.
+    /// Checks that a change is signed by its writer and is within the writer's subtree.
     pub(crate) fn authorise(
         &self,
         writer: &str,
--- a/crates/apricotwell_state/src/lease.rs
+++ b/crates/apricotwell_state/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases on duty shards.
+//! Leases on shards.
 
 use std::collections::BTreeMap;
 
@@ -9,43 +9,45 @@
 
 use crate::RejectReason;
 
-/// Lease on one duty shard.
+/// Lease on one shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Holder.
+    /// Instance that holds the lease.
     pub holder: InstanceId,
-    /// Start number of the holder.
+    /// Incarnation of the holder's process.
     pub incarnation: Incarnation,
-    /// Fencing number.
+    /// Fencing token of the lease.
     pub fence: Fence,
-    /// Fencing number of the lease before; 0 when nobody had held the shard.
+    /// Fencing token of the previous lease; 0 if the shard never had a holder.
     pub previous: Fence,
-    /// Whether the previous holder gave it up itself, so that no wait is needed.
+    /// Whether the previous holder handed over the shard itself, or there was none. The lease is
+    /// then effective at once.
     pub handed: bool,
 }
 
-/// Leases on all duty shards.
+/// Leases on all shards.
 ///
 /// # Invariants
 ///
-/// Fences of a shard only grow, and each shard has at most one holder at an offset.
+/// The fences of a shard only increase, and at each offset a shard has at most one holder.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseTable {
     leases: BTreeMap<Shard, Lease>,
 }
 
 impl LeaseTable {
-    /// Returns the lease of a shard that was ever held.
+    /// Returns the latest lease of a shard; `None` if the shard never had a holder.
     pub fn get(&self, shard: Shard) -> Option<&Lease> {
         self.leases.get(&shard)
     }
 
-    /// Returns the leases in order of shard.
+    /// Returns the leases, ordered by shard.
     pub fn iter(&self) -> impl Iterator<Item = (Shard, &Lease)> {
         self.leases.iter().map(|(shard, lease)| (*shard, lease))
     }
 
-    // Takes those shards whose fence still is the one that the writer decided at.
+    // Grants the leases on those shards whose current fence is the one in the record. Only the
+    // holder itself may grant a lease to another instance.
     pub(crate) fn take(
         &mut self,
         offset: Offset,
@@ -57,13 +59,13 @@
         if take.shards.len() != take.fences.len() {
             return Err(RejectReason::Unreadable);
         }
-        let mut taken = false;
+        let mut any_granted = false;
         for (shard, fence) in take.shards.iter().zip(&take.fences) {
-            let present = self.leases.get(shard);
-            if *shard >= shards || present.map_or(0, |lease| lease.fence) != *fence {
+            let current = self.leases.get(shard);
+            if *shard >= shards || current.map_or(0, |lease| lease.fence) != *fence {
                 continue;
             }
-            let handed = present
+            let handed = current
                 .is_none_or(|lease| &*lease.holder == writer && lease.incarnation == incarnation);
             if !handed && take.holder != writer {
                 continue;
@@ -76,9 +78,9 @@
                 handed,
             };
             self.leases.insert(*shard, lease);
-            taken = true;
+            any_granted = true;
         }
-        if taken {
+        if any_granted {
             Ok(())
         } else {
             Err(RejectReason::StaleFence)
--- a/crates/apricotwell_state/src/ledger.rs
+++ b/crates/apricotwell_state/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Ledger of backend servers, their replicas and their memory.
+//! Ledger of backend servers, and of the replicas and memory on them.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -13,43 +13,43 @@
 /// Backend server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// Start number.
+    /// Incarnation of the server's process.
     pub incarnation: Incarnation,
-    /// Pool that gives its kind, memory and slots.
+    /// Pool whose settings determine the kind, memory and slots.
     pub pool: String,
     /// Address as `ip:port`.
     pub address: String,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub leaving: bool,
 }
 
-/// Step in the life of a replica.
+/// Phase in the lifecycle of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaPhase {
-    /// Decided; its load order may have had its effect or not.
+    /// The load is decided; its order may or may not have taken effect.
     Decided,
-    /// Confirmed as loaded.
+    /// The load is confirmed.
     Loaded,
-    /// To be unloaded; still counts until that is confirmed.
+    /// The unload is decided; the replica counts until the unload is confirmed.
     Retiring,
 }
 
 /// Replica of a model or an adapter on one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Model, or `model:adapter`.
+    /// Id of the model, or `model:adapter`.
     pub model: ModelId,
     /// Version of the weights.
     pub version: String,
-    /// Server that loads it.
+    /// Server that the replica is assigned to.
     pub server: ServerId,
-    /// Memory that it takes.
+    /// Memory that the replica takes.
     pub memory: Mebibytes,
-    /// Step.
+    /// Phase of the replica.
     pub phase: ReplicaPhase,
-    /// Fence of the holder that decided it and alone may order its load.
+    /// Fence of the lease under which the load was decided; only its holder may order the load.
     pub fence: Fence,
     /// Whether the load order is known to have taken effect.
     pub confirmed: bool,
@@ -59,14 +59,15 @@
 ///
 /// # Invariants
 ///
-/// Each replica belongs to the present incarnation of a known server, and the memory of a server's
-/// replicas never exceeds the pool's memory at the time of the decision. Memory is given back only
-/// by a confirmed unload, or by the server's restart or end.
+/// Each replica belongs to the current incarnation of a known server. The memory of a server's
+/// replicas never exceeds the pool's memory at the time of a decision. Memory is released only by
+/// a confirmed unload, or when the server restarts or ends.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ledger {
     servers: BTreeMap<ServerId, Server>,
     replicas: BTreeMap<ReplicaId, Replica>,
-    // Derived from `replicas`; sums per server keep a decision's cost constant.
+    // Derived from `replicas`. The sums per server make the cost of a decision independent of the
+    // number of replicas.
     #[serde(skip)]
     used: BTreeMap<ServerId, Mebibytes>,
     #[serde(skip)]
@@ -79,7 +80,7 @@
         self.servers.get(id)
     }
 
-    /// Returns the servers in order of id.
+    /// Returns the servers, ordered by id.
     pub fn servers(&self) -> impl Iterator<Item = (&ServerId, &Server)> {
         self.servers.iter()
     }
@@ -89,12 +90,12 @@
         self.replicas.get(&id)
     }
 
-    /// Returns the replicas in order of id.
+    /// Returns the replicas, ordered by id.
     pub fn replicas(&self) -> impl Iterator<Item = (ReplicaId, &Replica)> {
         self.replicas.iter().map(|(id, replica)| (*id, replica))
     }
 
-    /// Returns the replicas of a model in order of id.
+    /// Returns the replicas of a model, ordered by id.
     pub fn replicas_of(&self, model: &str) -> impl Iterator<Item = (ReplicaId, &Replica)> {
         let ids = self.models.get(model).map_or(&[][..], Vec::as_slice);
         ids.iter()
@@ -103,9 +104,9 @@
 
     /// Returns how many replicas of a model count towards its limit under `fence`.
     ///
-    /// A load that an earlier holder decided and that nobody has confirmed does not count: it may
-    /// never come about, and the model must not wait for it for ever. Its memory stays taken, and
-    /// should it come about after all, one replica is unloaded again.
+    /// An unconfirmed load that an earlier lease holder decided does not count. It may never take
+    /// effect, and the model must not be blocked by it forever. Its memory stays reserved. If it
+    /// does take effect, the surplus replica is unloaded again.
     pub fn count_towards_limit(&self, model: &str, fence: Fence) -> usize {
         let counts =
             |replica: &Replica| replica.phase != ReplicaPhase::Decided || replica.fence >= fence;
@@ -113,18 +114,18 @@
         replicas.filter(|(_, replica)| counts(replica)).count()
     }
 
-    /// Returns the memory that a server's replicas take, undetermined ones included.
+    /// Returns the memory that a server's replicas take, including those with unconfirmed loads.
     pub fn used_memory(&self, server: &str) -> Mebibytes {
         self.used.get(server).copied().unwrap_or(0)
     }
 
-    /// Returns how many loads are decided and not settled, `(models, adapters)`.
+    /// Returns the numbers of loads that are not confirmed yet, as `(models, adapters)`.
     pub fn loads_in_flight(&self) -> (usize, usize) {
-        let waiting = self
+        let unconfirmed = self
             .replicas
             .values()
             .filter(|replica| replica.phase == ReplicaPhase::Decided);
-        waiting.fold((0, 0), |(models, adapters), replica| {
+        unconfirmed.fold((0, 0), |(models, adapters), replica| {
             if replica.model.contains(':') {
                 (models, adapters + 1)
             } else {
@@ -153,11 +154,11 @@
             leaving: up.leaving,
         };
         match self.servers.get(&id) {
-            Some(known) if known.incarnation > up.incarnation => {
+            Some(existing) if existing.incarnation > up.incarnation => {
                 return Err(RejectReason::UnknownTarget);
             }
-            Some(known) if *known == server => return Err(RejectReason::Duplicate),
-            Some(known) if known.incarnation < up.incarnation => self.drop_replicas(&id),
+            Some(existing) if *existing == server => return Err(RejectReason::Duplicate),
+            Some(existing) if existing.incarnation < up.incarnation => self.drop_replicas(&id),
             _ => {}
         }
         self.servers.insert(id, server);
@@ -169,8 +170,8 @@
         id: &str,
         incarnation: Incarnation,
     ) -> Result<(), RejectReason> {
-        let known = self.servers.get(id).ok_or(RejectReason::UnknownTarget)?;
-        if known.incarnation != incarnation {
+        let server = self.servers.get(id).ok_or(RejectReason::UnknownTarget)?;
+        if server.incarnation != incarnation {
             return Err(RejectReason::UnknownTarget);
         }
         self.drop_replicas(id);
@@ -188,10 +189,10 @@
         if self.count_towards_limit(&replica.model, replica.fence) >= max_replicas as usize {
             return Err(RejectReason::ReplicaLimit);
         }
-        let twice = self
+        let is_duplicate = self
             .replicas_of(&replica.model)
             .any(|(_, other)| other.server == replica.server && other.version == replica.version);
-        if twice {
+        if is_duplicate {
             return Err(RejectReason::ReplicaLimit);
         }
         if let Some((base, _)) = replica.model.split_once(':') {
@@ -226,7 +227,7 @@
         Ok(())
     }
 
-    pub(crate) fn settle_loaded(&mut self, id: ReplicaId) -> Result<(), RejectReason> {
+    pub(crate) fn confirm_loaded(&mut self, id: ReplicaId) -> Result<(), RejectReason> {
         let replica = self
             .replicas
             .get_mut(&id)
@@ -241,7 +242,7 @@
         Ok(())
     }
 
-    pub(crate) fn settle_absent(&mut self, id: ReplicaId) -> Result<(), RejectReason> {
+    pub(crate) fn confirm_absent(&mut self, id: ReplicaId) -> Result<(), RejectReason> {
         let replica = self.replicas.get(&id).ok_or(RejectReason::UnknownTarget)?;
         if replica.phase == ReplicaPhase::Loaded {
             return Err(RejectReason::WrongPhase);
@@ -261,12 +262,12 @@
     }
 
     fn drop_replicas(&mut self, server: &str) {
-        let gone: Vec<ReplicaId> = self
+        let ids: Vec<ReplicaId> = self
             .replicas()
             .filter(|(_, replica)| &*replica.server == server)
             .map(|(id, _)| id)
             .collect();
-        for id in gone {
+        for id in ids {
             self.remove(id);
         }
     }
--- a/crates/apricotwell_state/src/lib.rs
+++ b/crates/apricotwell_state/src/lib.rs
@@ -1,9 +1,12 @@
-//! State that every instance folds from the control stream.
+//! Replicated state that every instance builds from the control stream.
 //!
-//! All readers apply the same records in the same order and accept or reject each one alike, so
-//! what one instance concludes from an offset holds for every other one that reached it.
-//! The invariants that must hold fleet-wide are enforced here and nowhere else: subtree authority
-//! and versions of configuration, fences of leases, numbers of replicas and memory of servers.
+//! All instances apply the same records in the same order, and either all of them accept a record
+//! or all of them reject it. Whatever one instance derives from the state at an offset therefore
+//! holds on every other instance that has reached that offset.
+//!
+//! The fleet-wide invariants are enforced only in this crate: which operator may write which
+//! subtree of the configuration, versions of configuration values, fences of leases, replica
+//! limits, and the memory of servers.
 //!
 //! # Examples
 //!
@@ -39,7 +42,7 @@
 };
 pub use state::{Genesis, KeyOwner, ResolvedModel, State};
 
-/// What nearly every user of the crate needs.
+/// Items that most users of the crate need.
 pub mod prelude {
     pub use crate::{Genesis, Lease, RejectReason, Replica, ReplicaPhase, Server, State};
 }
--- a/crates/apricotwell_state/src/rejection.rs
+++ b/crates/apricotwell_state/src/rejection.rs
@@ -1,27 +1,27 @@
-//! Why a record had no effect.
+//! Reasons why records are rejected.
 
 use std::fmt;
 
 use apricotwell_types::Offset;
 
-/// Why a record had no effect; every reader comes to the same one.
+/// Why a record was rejected; the same on every instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The writer's record was applied before.
+    /// The record was already applied, or a later one of the same writer was.
     Duplicate,
-    /// The bytes or the kind are unknown to this version.
+    /// The bytes can't be decoded, or this version does not know the kind of record.
     Unreadable,
-    /// The writer is not an operator known to the configuration.
+    /// The writer is not an operator registered in the configuration.
     UnknownOperator,
-    /// The signature does not fit the operator's registered key.
+    /// The signature does not match the operator's registered key.
     InvalidSignature,
-    /// The path lies outside of the operator's subtree.
+    /// The path is outside the operator's subtree.
     OutsideSubtree,
-    /// Another change came first; the field holds its version.
+    /// Another change was applied first; contains the current version.
     VersionConflict(Offset),
-    /// The value or the path is malformed.
+    /// The value or the path is malformed; contains the reason.
     Malformed(String),
-    /// The lease or fence that the record was decided at has passed.
+    /// The record was decided under a lease or fence that is no longer current.
     StaleFence,
     /// The record's server or replica is unknown or of another incarnation.
     UnknownTarget,
@@ -29,14 +29,16 @@
     ReplicaLimit,
     /// The server has too little memory left.
     MemoryLimit,
-    /// The step does not follow from the replica's phase.
+    /// The replica's phase does not allow the change.
     WrongPhase,
 }
 
 impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RejectReason::Duplicate => f.write_str("the record was applied before; nothing to do"),
+            RejectReason::Duplicate => {
+                f.write_str("the record has already been applied; nothing to do")
+            }
             RejectReason::Unreadable => {
                 f.write_str("the record is of an unknown kind; upgrade this instance")
             }
@@ -44,14 +46,14 @@
                 f.write_str("the operator is not registered under /platform/operators")
             }
             RejectReason::InvalidSignature => {
-                f.write_str("the signature does not fit the operator's registered key")
+                f.write_str("the signature does not match the operator's registered key")
             }
             RejectReason::OutsideSubtree => {
-                f.write_str("the path lies outside of the operator's subtree; ask its owner")
+                f.write_str("the path is outside the operator's subtree; ask the owner of the path")
             }
             RejectReason::VersionConflict(version) => write!(
                 f,
-                "another change won with version {version}; read it and publish again on top of it"
+                "another change set version {version} first; read it and publish again on top"
             ),
             RejectReason::Malformed(reason) => f.write_str(reason),
             RejectReason::StaleFence => f.write_str("the lease has moved; its new holder decides"),
@@ -64,22 +66,24 @@
             RejectReason::MemoryLimit => {
                 f.write_str("the server has too little memory; retire a replica on it first")
             }
-            RejectReason::WrongPhase => f.write_str("the replica is past this step; nothing to do"),
+            RejectReason::WrongPhase => {
+                f.write_str("the replica's phase does not allow the change; nothing to do")
+            }
         }
     }
 }
 
 impl std::error::Error for RejectReason {}
 
-/// Record that had no effect.
+/// Record that was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Where the record stands.
+    /// Offset of the record.
     pub offset: Offset,
-    /// Who wrote it.
+    /// Instance or operator that wrote the record.
     pub writer: String,
-    /// Change number for configuration, otherwise 0.
+    /// Number of the configuration change; 0 for other records.
     pub change: u64,
-    /// Reason.
+    /// Why it was rejected.
     pub reason: RejectReason,
 }
--- a/crates/apricotwell_state/src/settings.rs
+++ b/crates/apricotwell_state/src/settings.rs
@@ -1,10 +1,10 @@
-//! Typed values of configuration paths.
+//! Parsed and validated values of configuration paths.
 
 use serde::{Deserialize, Serialize};
 
 use apricotwell_types::{BodyDigest, KeyDigest, Mebibytes, Tokens, WorkClass};
 
-/// Value under a path, checked whole.
+/// Validated value of a path.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Setting {
     /// `/platform/organisations/NAME`.
@@ -31,17 +31,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrgSettings {
-    /// Tokens a second over all instances.
+    /// Rate limit in tokens per second, over all instances.
     pub rate: Tokens,
-    /// Tokens that can be used at once after a pause.
+    /// Tokens that can be used at once after an idle period.
     pub burst: Tokens,
-    /// Share of a contended server against other organisations.
+    /// Weight in the sharing of a contended server among organisations.
     #[serde(default = "default_weight")]
     pub weight: u32,
     /// Models that the organisation may call; `*` for all.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Requests that may wait on one entry instance.
+    /// Maximum number of requests that wait on one entry instance.
     #[serde(default = "default_waiting")]
     pub max_waiting: u32,
 }
@@ -52,12 +52,12 @@
 pub struct ModelSettings {
     /// Version of the weights in the weight store.
     pub version: String,
-    /// Memory of one replica with the KV cache that it needs at least.
+    /// Memory of one replica, including the minimum KV cache that it needs.
     pub memory_mib: Mebibytes,
-    /// Replicas kept without requests.
+    /// Number of replicas that are kept loaded without requests.
     #[serde(default)]
     pub min_replicas: u32,
-    /// Replicas at most, those in flight and of older versions included.
+    /// Maximum number of replicas, including those being loaded and those of older versions.
     #[serde(default = "default_replicas")]
     pub max_replicas: u32,
     /// Pool whose servers may load it.
@@ -67,7 +67,7 @@
     pub keep_warm_s: u32,
 }
 
-/// What a pool's servers are.
+/// Kind of the servers in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
@@ -81,15 +81,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSettings {
-    /// What the servers are.
+    /// Kind of the servers.
     pub kind: PoolKind,
     /// Accelerator memory of one server that replicas may take.
     #[serde(default)]
     pub memory_mib: Mebibytes,
-    /// Requests that one server runs at once.
+    /// Number of requests that one server runs at once.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether the servers refuse orders with an old fencing number.
+    /// Whether the servers reject orders with an outdated fencing token.
     #[serde(default)]
     pub fencing: bool,
 }
@@ -98,20 +98,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSettings {
-    /// Path prefix.
+    /// Path prefix of the requests.
     pub prefix: String,
-    /// Methods.
+    /// HTTP methods of the requests.
     pub methods: Vec<String>,
-    /// Pool of the service.
+    /// Pool of the servers that provide the service.
     pub pool: String,
-    /// Class of its calls; decides whether they may be repeated.
+    /// Work class of the requests; determines whether they may be retried.
     pub class: WorkClass,
-    /// Whether calls need no key.
+    /// Whether requests need no API key.
     #[serde(default)]
     pub open: bool,
-    /// Deadline of a call.
+    /// Default deadline of a request, in milliseconds after it arrives.
     pub deadline_ms: u64,
-    /// Tokens that a call costs.
+    /// Number of tokens that a request costs.
     #[serde(default)]
     pub cost: Tokens,
 }
@@ -122,7 +122,7 @@
 pub struct OperatorSettings {
     /// Ed25519 public key, 64 hexadecimal digits.
     pub public_key: String,
-    /// Path below which the operator may write.
+    /// Path that the operator may write, with everything below it.
     pub subtree: String,
 }
 
@@ -130,9 +130,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Model loads in flight at once.
+    /// Maximum number of concurrent model loads.
     pub parallel_loads: u32,
-    /// Adapter loads in flight at once.
+    /// Maximum number of concurrent adapter loads.
     pub parallel_adapters: u32,
 }
 
@@ -149,11 +149,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuarantineSettings {
-    /// Whether the body may run again.
+    /// Whether requests with the body are accepted again.
     pub released: bool,
 }
 
-/// Settings of a caller's key.
+/// Settings of an API key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
@@ -164,7 +164,7 @@
     pub withdrawn: bool,
 }
 
-/// Settings of an adapter; called as `BASE:NAME`.
+/// Settings of an adapter; clients request it as `BASE:NAME`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdapterSettings {
@@ -172,9 +172,9 @@
     pub base: String,
     /// Version of the adapter's weights.
     pub version: String,
-    /// Memory that it takes beside its base model.
+    /// Memory of one replica, in addition to that of its base model.
     pub memory_mib: Mebibytes,
-    /// Replicas at most.
+    /// Maximum number of replicas.
     #[serde(default = "default_replicas")]
     pub max_replicas: u32,
 }
@@ -184,45 +184,45 @@
     ///
     /// # Errors
     ///
-    /// Fails with a text that names path, fault and remedy.
+    /// Fails with a message that names the path, the problem and how to fix it.
     pub fn parse(path: &str, text: &str) -> Result<Self, String> {
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
-        if !path.starts_with('/') || !parts.iter().all(|part| is_name(part)) {
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        if !path.starts_with('/') || !segments.iter().all(|segment| is_valid_segment(segment)) {
             return Err(format!(
-                "`{path}` is not a path: use / and parts of letters, digits, `.`, `_` and `-`"
+                "`{path}` is not a path: use `/` and segments of letters, digits, `.`, `_` and `-`"
             ));
         }
-        let setting = match parts[..] {
-            ["platform", "organisations", _] => Setting::Organisation(read(path, text)?),
-            ["platform", "models", _] => Setting::Model(read(path, text)?),
-            ["platform", "pools", _] => Setting::Pool(read(path, text)?),
-            ["platform", "routes", _] => Setting::Route(read(path, text)?),
-            ["platform", "operators", _] => Setting::Operator(read(path, text)?),
-            ["platform", "store"] => Setting::Store(read(path, text)?),
-            ["platform", "quarantine", _] => Setting::Quarantine(read(path, text)?),
-            ["teams", _, "keys", _] => Setting::Key(read(path, text)?),
-            ["teams", _, "adapters", _] => Setting::Adapter(read(path, text)?),
+        let setting = match segments[..] {
+            ["platform", "organisations", _] => Setting::Organisation(parse_toml(path, text)?),
+            ["platform", "models", _] => Setting::Model(parse_toml(path, text)?),
+            ["platform", "pools", _] => Setting::Pool(parse_toml(path, text)?),
+            ["platform", "routes", _] => Setting::Route(parse_toml(path, text)?),
+            ["platform", "operators", _] => Setting::Operator(parse_toml(path, text)?),
+            ["platform", "store"] => Setting::Store(parse_toml(path, text)?),
+            ["platform", "quarantine", _] => Setting::Quarantine(parse_toml(path, text)?),
+            ["teams", _, "keys", _] => Setting::Key(parse_toml(path, text)?),
+            ["teams", _, "adapters", _] => Setting::Adapter(parse_toml(path, text)?),
             _ => {
                 return Err(format!(
-                    "`{path}` has no settings: see docs/SETTINGS.md for the paths"
+                    "`{path}` is not a known path: see docs/SETTINGS.md for the paths"
                 ));
             }
         };
-        setting.check(path, &parts)?;
+        setting.validate(path, &segments)?;
         Ok(setting)
     }
 
-    fn check(&self, path: &str, parts: &[&str]) -> Result<(), String> {
-        let fault = match self {
+    fn validate(&self, path: &str, segments: &[&str]) -> Result<(), String> {
+        let problem = match self {
             Setting::Organisation(org) if org.rate == 0 || org.burst == 0 => Some(
-                "`rate` and `burst` must be above 0; to stop an organisation withdraw its keys",
+                "`rate` and `burst` must be above 0; to stop an organisation, withdraw its keys",
             ),
             Setting::Organisation(org) if org.weight == 0 => Some("`weight` must be above 0"),
             Setting::Model(model) if model.memory_mib == 0 => {
                 Some("`memory_mib` must be above 0: give the size of one replica")
             }
             Setting::Model(model) if model.min_replicas > model.max_replicas => {
-                Some("`min_replicas` is above `max_replicas`: raise the latter")
+                Some("`min_replicas` is above `max_replicas`: raise `max_replicas`")
             }
             Setting::Pool(pool) if pool.slots == 0 => Some("`slots` must be above 0"),
             Setting::Pool(pool) if pool.kind == PoolKind::Engine && pool.memory_mib == 0 => {
@@ -232,7 +232,7 @@
                 Some("`prefix` must begin with /")
             }
             Setting::Route(route) if route.open && !route.class.is_repeatable() => {
-                Some("an open route can't be non-idempotent: its callers have no organisation")
+                Some("an open route can't be non-idempotent: its clients have no organisation")
             }
             Setting::Store(store) if store.parallel_loads == 0 || store.parallel_adapters == 0 => {
                 Some("both limits must be above 0")
@@ -240,28 +240,28 @@
             Setting::Key(key) if KeyDigest::from_hex(&key.digest).is_none() => {
                 Some("`digest` must be 64 hexadecimal digits: use `apricotwell-control key issue`")
             }
-            Setting::Quarantine(_) if BodyDigest::from_hex(parts[2]).is_none() => {
-                Some("the last part must be the 32 hexadecimal digits shown by `status`")
+            Setting::Quarantine(_) if BodyDigest::from_hex(segments[2]).is_none() => {
+                Some("the last segment must be the 32 hexadecimal digits shown by `status`")
             }
             _ => None,
         };
-        fault.map_or(Ok(()), |fault| Err(format!("{path}: {fault}")))
+        problem.map_or(Ok(()), |problem| Err(format!("{path}: {problem}")))
     }
 }
 
-fn read<T>(path: &str, text: &str) -> Result<T, String>
+fn parse_toml<T>(path: &str, text: &str) -> Result<T, String>
 where
     T: for<'de> Deserialize<'de>,
 {
     toml::from_str(text).map_err(|error| format!("{path}: {}", error.to_string().trim()))
 }
 
-fn is_name(part: &str) -> bool {
-    let legal = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'_' | b'-');
-    !part.is_empty() && part.len() <= MAX_NAME_BYTES && part.bytes().all(legal)
+fn is_valid_segment(segment: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'_' | b'-');
+    !segment.is_empty() && segment.len() <= MAX_SEGMENT_BYTES && segment.bytes().all(is_allowed)
 }
 
-const MAX_NAME_BYTES: usize = 64;
+const MAX_SEGMENT_BYTES: usize = 64;
 
 fn default_weight() -> u32 {
     1
--- a/crates/apricotwell_state/src/state.rs
+++ b/crates/apricotwell_state/src/state.rs
@@ -1,4 +1,4 @@
-//! The fold itself.
+//! The replicated state, and how records change it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,59 +19,60 @@
 };
 use crate::{RejectReason, Rejection};
 
-/// Writers whose last record number is remembered.
+/// Writers whose latest sequence number is kept.
 const MAX_WRITERS: usize = 4096;
-/// Rejections kept for operators.
+/// Latest rejections kept for operators.
 const MAX_REJECTIONS: usize = 256;
-/// Crashes after which a body is refused everywhere.
+/// Server crashes after which all instances refuse a request body.
 const QUARANTINE_CRASHES: u32 = 2;
-/// Suspected bodies remembered; the least recent is forgotten first.
+/// Suspected bodies kept; the one whose latest crash is oldest is dropped first.
 const MAX_SUSPECTS: usize = 4096;
 
-/// What every instance must be set to alike.
+/// Settings that must be identical on all instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Genesis {
     /// Ed25519 public key of the root operator, 64 hexadecimal digits.
     pub root_key: String,
-    /// Number of duty shards.
+    /// Number of shards.
     pub shards: Shard,
 }
 
-/// Organisation that holds a key.
+/// Owner of an API key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyOwner {
-    /// Organisation.
+    /// Organisation that the key belongs to.
     pub org: OrgId,
-    /// Name of the key, fit to be logged.
+    /// Name of the key, which may be logged, unlike the key itself.
     pub name: String,
 }
 
-/// Model or adapter as a caller may name it.
+/// Model or adapter that a client's model name refers to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedModel {
-    /// Id under which replicas are kept.
+    /// Id that replicas of it have in the ledger.
     pub model: ModelId,
-    /// Version in force.
+    /// Current version of the weights.
     pub version: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct WriterMark {
+struct WriterPosition {
     incarnation: Incarnation,
     sequence: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct SuspectMark {
+struct SuspectRecord {
     crashes: u32,
     latest: Offset,
 }
 
-/// State folded from the control stream.
+/// Replicated state built from the control stream.
 ///
 /// # Invariants
 ///
-/// Equal genesis and equal records up to `next` give an equal state on every instance.
+/// Instances with equal genesis settings that have applied the same records below `next` have equal
+/// states.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct State {
     genesis: Genesis,
@@ -80,15 +81,15 @@
     config: ConfigTree,
     leases: LeaseTable,
     ledger: Ledger,
-    writers: BTreeMap<String, WriterMark>,
-    suspects: BTreeMap<[u8; 16], SuspectMark>,
+    writers: BTreeMap<String, WriterPosition>,
+    suspects: BTreeMap<[u8; 16], SuspectRecord>,
     #[serde(skip)]
     index: Index,
     #[serde(skip)]
     rejections: VecDeque<Rejection>,
 }
 
-// Typed views of the configuration, rebuilt after a checkpoint.
+// Parsed settings of the configuration. Not stored in checkpoints, but rebuilt from the tree.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Index {
     orgs: Map<OrgId, OrgSettings>,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns what the state was begun with.
+    /// Returns the settings that the state was created with.
     pub fn genesis(&self) -> &Genesis {
         &self.genesis
     }
@@ -141,7 +142,7 @@
         self.leases.get(shard)
     }
 
-    /// Returns servers and replicas.
+    /// Returns the ledger of servers and replicas.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
@@ -151,7 +152,7 @@
         self.rejections.iter()
     }
 
-    /// Returns the holder of a key that is in force.
+    /// Returns the owner of a key; `None` if the key is unknown or withdrawn.
     pub fn key_owner(&self, digest: &KeyDigest) -> Option<&KeyOwner> {
         self.index.keys.get(digest)
     }
@@ -170,7 +171,7 @@
         self.index.orgs.get(org)
     }
 
-    /// Returns the organisations in no defined order.
+    /// Returns the organisations, in no defined order.
     pub fn orgs(&self) -> impl Iterator<Item = (&OrgId, &OrgSettings)> {
         self.index.orgs.iter()
     }
@@ -180,7 +181,7 @@
         self.index.models.get(model)
     }
 
-    /// Returns the models in order of name.
+    /// Returns the models, ordered by name.
     pub fn models(&self) -> impl Iterator<Item = (&str, &ModelSettings)> {
         let models = self.index.models.iter();
         models.map(|(name, model)| (name.as_str(), model))
@@ -191,7 +192,7 @@
         self.index.adapters.get(id)
     }
 
-    /// Returns the adapters' replica ids and settings in order of id.
+    /// Returns the replica ids and settings of the adapters, ordered by id.
     pub fn adapters(&self) -> impl Iterator<Item = (&str, &AdapterSettings)> {
         let adapters = self.index.adapters.iter();
         adapters.map(|(id, adapter)| (id.as_str(), adapter))
@@ -207,18 +208,20 @@
         &self.index.store
     }
 
-    /// Returns the route with the longest prefix that fits a call.
+    /// Returns the name and settings of the route with the longest prefix that matches a request.
     pub fn route(&self, method: &str, path: &str) -> Option<(&str, &RouteSettings)> {
         self.index
             .routes
             .iter()
-            .filter(|(_, route)| is_below(path, &route.prefix))
-            .filter(|(_, route)| route.methods.iter().any(|known| known == method))
+            .filter(|(_, route)| matches_prefix(path, &route.prefix))
+            .filter(|(_, route)| route.methods.iter().any(|allowed| allowed == method))
             .max_by_key(|(_, route)| route.prefix.len())
             .map(|(name, route)| (name.as_str(), route))
     }
 
-    /// Resolves the model that a caller of `org` names, if it is granted.
+    /// Resolves the model name in a request of `org`.
+    ///
+    /// Returns `None` if the model or adapter is unknown, or the model is not granted to `org`.
     pub fn resolve_model(&self, org: &str, name: &str) -> Option<ResolvedModel> {
         let settings = self.org(org)?;
         let base = name.split(':').next()?;
@@ -244,58 +247,60 @@
         })
     }
 
-    /// Returns version, memory and replica limit of a model or adapter.
+    /// Returns version, memory and replica limit of a model or adapter, as needed to load it.
     pub fn load_spec(&self, model: &str) -> Option<(String, Mebibytes, u32)> {
         if model.contains(':') {
             let adapter = self.adapter(model)?;
-            let terms = (
+            let spec = (
                 adapter.version.clone(),
                 adapter.memory_mib,
                 adapter.max_replicas,
             );
-            return Some(terms);
+            return Some(spec);
         }
         let settings = self.model(model)?;
-        let terms = (
+        let spec = (
             settings.version.clone(),
             settings.memory_mib,
             settings.max_replicas,
         );
-        Some(terms)
+        Some(spec)
     }
 
-    /// Returns the duty shard of a model; an adapter shares its base model's shard.
+    /// Returns the shard of a model; an adapter is in the shard of its base model.
     pub fn model_shard(&self, model: &str) -> Shard {
         let base = model.split(':').next().unwrap_or(model);
         shard_of(base, self.genesis.shards)
     }
 
-    /// Returns how many servers crashed on a body.
+    /// Returns the number of server crashes recorded for a request body.
     pub fn crash_count(&self, digest: BodyDigest) -> u32 {
-        self.suspects.get(&digest.0).map_or(0, |mark| mark.crashes)
+        self.suspects
+            .get(&digest.0)
+            .map_or(0, |suspect| suspect.crashes)
     }
 
-    /// Returns whether a body is refused everywhere.
+    /// Returns whether all instances refuse a request body.
     pub fn is_quarantined(&self, digest: BodyDigest) -> bool {
         self.crash_count(digest) >= QUARANTINE_CRASHES
     }
 
-    /// Returns the suspected bodies with their crashes.
+    /// Returns the suspected bodies with their numbers of crashes.
     pub fn suspects(&self) -> impl Iterator<Item = (BodyDigest, u32)> {
         let suspects = self.suspects.iter();
-        suspects.map(|(digest, mark)| (BodyDigest(*digest), mark.crashes))
+        suspects.map(|(digest, suspect)| (BodyDigest(*digest), suspect.crashes))
     }
 
     /// Applies the record at `offset`.
     ///
     /// # Errors
     ///
-    /// Fails when the record has no effect; every reader fails alike.
+    /// Fails if the record has no effect; it then fails on every instance.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Result<(), RejectReason> {
         self.next = self.next.max(offset + 1);
         let applied = self.apply_body(offset, record);
         if let Err(reason) = &applied {
-            self.note_rejection(offset, record, reason.clone());
+            self.record_rejection(offset, record, reason.clone());
         }
         applied
     }
@@ -304,7 +309,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the record has no effect; every reader fails alike.
+    /// Fails if the record has no effect; it then fails on every instance.
     pub fn apply_bytes(&mut self, offset: Offset, bytes: &[u8]) -> Result<(), RejectReason> {
         match Record::from_bytes(bytes) {
             Some(record) => self.apply(offset, &record),
@@ -342,23 +347,24 @@
         }
     }
 
-    // Drops repeats after a lost reply and late records of an ended process.
+    // Rejects duplicates, which a writer appends after a lost reply, and late records of an ended
+    // process.
     fn check_writer(&mut self, record: &Record) -> Result<(), RejectReason> {
-        let mark = self.writers.get(&record.writer);
-        let known = mark.map_or((0, 0), |mark| (mark.incarnation, mark.sequence));
-        if (record.incarnation, record.sequence) <= known {
+        let latest = self.writers.get(&record.writer);
+        let latest = latest.map_or((0, 0), |latest| (latest.incarnation, latest.sequence));
+        if (record.incarnation, record.sequence) <= latest {
             return Err(RejectReason::Duplicate);
         }
-        let mark = WriterMark {
+        let position = WriterPosition {
             incarnation: record.incarnation,
             sequence: record.sequence,
         };
-        self.writers.insert(record.writer.clone(), mark);
+        self.writers.insert(record.writer.clone(), position);
         if self.writers.len() > MAX_WRITERS {
             let oldest = self
                 .writers
                 .iter()
-                .min_by_key(|(_, mark)| mark.incarnation)
+                .min_by_key(|(_, position)| position.incarnation)
                 .map(|(writer, _)| writer.clone());
             if let Some(writer) = oldest {
                 self.writers.remove(&writer);
@@ -370,18 +376,18 @@
     fn apply_put(&mut self, offset: Offset, writer: &str, put: &Put) -> Result<(), RejectReason> {
         let root_key = &self.genesis.root_key;
         self.config.authorise(writer, put, root_key)?;
-        self.check_digest(put)?;
+        self.check_key_digest(put)?;
         let setting = self.config.put(offset, writer, put)?;
         match setting {
             Some(setting) => {
                 if let (Setting::Quarantine(quarantine), Some(digest)) =
-                    (&setting, last_part(&put.path))
+                    (&setting, last_segment(&put.path))
                     && quarantine.released
                     && let Some(digest) = BodyDigest::from_hex(digest)
                 {
                     self.suspects.remove(&digest.0);
                 }
-                // A path without a value has nothing in the index; looking for it costs.
+                // A path without an earlier entry is not in the index. Skipping it avoids a scan.
                 if put.expected != 0 {
                     self.index.remove(&put.path);
                 }
@@ -392,9 +398,9 @@
         Ok(())
     }
 
-    // A digest in force under another path stays there: no team may take over a key that it
-    // merely knows the digest of.
-    fn check_digest(&self, put: &Put) -> Result<(), RejectReason> {
+    // Rejects a key digest that is in use under another path. Otherwise a team could take over a
+    // key of another team by knowing only its digest.
+    fn check_key_digest(&self, put: &Put) -> Result<(), RejectReason> {
         let Some(text) = &put.value else {
             return Ok(());
         };
@@ -402,14 +408,16 @@
             return Ok(());
         };
         let digest = KeyDigest::from_hex(&settings.digest);
-        let Some(holder) = digest.and_then(|digest| self.key_owner(&digest)) else {
+        let Some(owner) = digest.and_then(|digest| self.key_owner(&digest)) else {
             return Ok(());
         };
-        if put.path == format!("/teams/{}/keys/{}", holder.org, holder.name) {
+        if put.path == format!("/teams/{}/keys/{}", owner.org, owner.name) {
             return Ok(());
         }
-        let fault = format!("{}: the key is in force under another path", put.path);
-        Err(RejectReason::Malformed(format!("{fault}; issue a new key")))
+        let problem = format!("{}: the key is in use under another path", put.path);
+        Err(RejectReason::Malformed(format!(
+            "{problem}; issue a new key"
+        )))
     }
 
     fn apply_decide(
@@ -419,8 +427,8 @@
         decide: &Decide,
     ) -> Result<(), RejectReason> {
         self.check_fence(record, &decide.model, decide.fence)?;
-        let terms = self.load_spec(&decide.model);
-        let (_, memory, max_replicas) = terms.ok_or(RejectReason::UnknownTarget)?;
+        let spec = self.load_spec(&decide.model);
+        let (_, memory, max_replicas) = spec.ok_or(RejectReason::UnknownTarget)?;
         let server = self.ledger.server(&decide.server);
         let server = server.ok_or(RejectReason::UnknownTarget)?;
         if server.incarnation != decide.incarnation {
@@ -442,25 +450,25 @@
     fn apply_settle(&mut self, record: &Record, settle: &Settle) -> Result<(), RejectReason> {
         self.check_replica(record, settle.replica, settle.fence)?;
         match SettleOutcome::try_from(settle.outcome) {
-            Ok(SettleOutcome::Loaded) => self.ledger.settle_loaded(settle.replica),
-            Ok(SettleOutcome::Absent) => self.ledger.settle_absent(settle.replica),
+            Ok(SettleOutcome::Loaded) => self.ledger.confirm_loaded(settle.replica),
+            Ok(SettleOutcome::Absent) => self.ledger.confirm_absent(settle.replica),
             _ => Err(RejectReason::Unreadable),
         }
     }
 
     fn apply_suspect(&mut self, offset: Offset, digest: &[u8]) -> Result<(), RejectReason> {
         let digest = BodyDigest::from_slice(digest).ok_or(RejectReason::Unreadable)?;
-        let mark = self.suspects.entry(digest.0).or_insert(SuspectMark {
+        let suspect = self.suspects.entry(digest.0).or_insert(SuspectRecord {
             crashes: 0,
             latest: offset,
         });
-        mark.crashes += 1;
-        mark.latest = offset;
+        suspect.crashes += 1;
+        suspect.latest = offset;
         if self.suspects.len() > MAX_SUSPECTS {
             let oldest = self
                 .suspects
                 .iter()
-                .min_by_key(|(_, mark)| mark.latest)
+                .min_by_key(|(_, suspect)| suspect.latest)
                 .map(|(digest, _)| *digest);
             if let Some(digest) = oldest {
                 self.suspects.remove(&digest);
@@ -477,17 +485,17 @@
     fn check_fence(&self, record: &Record, model: &str, fence: Fence) -> Result<(), RejectReason> {
         let lease = self.lease(self.model_shard(model));
         let lease = lease.ok_or(RejectReason::StaleFence)?;
-        let holds = lease.fence == fence
+        let is_holder = lease.fence == fence
             && *lease.holder == record.writer
             && lease.incarnation == record.incarnation;
-        if holds {
+        if is_holder {
             Ok(())
         } else {
             Err(RejectReason::StaleFence)
         }
     }
 
-    fn note_rejection(&mut self, offset: Offset, record: &Record, reason: RejectReason) {
+    fn record_rejection(&mut self, offset: Offset, record: &Record, reason: RejectReason) {
         let change = match &record.body {
             Some(Body::Put(put)) => put.change,
             _ => 0,
@@ -517,7 +525,7 @@
 
 impl Index {
     fn insert(&mut self, path: &str, setting: Setting) {
-        let name = last_part(path).unwrap_or_default().to_owned();
+        let name = last_segment(path).unwrap_or_default().to_owned();
         let org = path.split('/').nth(2).unwrap_or_default();
         match setting {
             Setting::Organisation(settings) => {
@@ -536,11 +544,11 @@
             Setting::Key(settings) => {
                 let digest = KeyDigest::from_hex(&settings.digest);
                 if let (Some(digest), false) = (digest, settings.withdrawn) {
-                    let holder = KeyOwner {
+                    let owner = KeyOwner {
                         org: org.into(),
                         name,
                     };
-                    self.keys.insert(digest, holder);
+                    self.keys.insert(digest, owner);
                 }
             }
             Setting::Adapter(settings) => {
@@ -552,8 +560,8 @@
     }
 
     fn remove(&mut self, path: &str) {
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
-        match parts[..] {
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        match segments[..] {
             ["platform", "organisations", name] => {
                 self.orgs.remove(name);
             }
@@ -569,7 +577,7 @@
             ["platform", "store"] => self.store = StoreSettings::default(),
             ["teams", org, "keys", name] => {
                 self.keys
-                    .retain(|_, holder| *holder.org != *org || holder.name != name);
+                    .retain(|_, owner| *owner.org != *org || owner.name != name);
             }
             ["teams", org, "adapters", name] => {
                 let suffix = format!(":{org}/{name}");
@@ -584,11 +592,11 @@
     format!("{base}:{org}/{name}")
 }
 
-fn last_part(path: &str) -> Option<&str> {
+fn last_segment(path: &str) -> Option<&str> {
     path.rsplit('/').next()
 }
 
-fn is_below(path: &str, prefix: &str) -> bool {
+fn matches_prefix(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
     };
--- a/crates/apricotwell_state/tests/fold.rs
+++ b/crates/apricotwell_state/tests/fold.rs
@@ -1,4 +1,4 @@
-//! Which records have an effect.
+//! Effects of control records on the state.
 
 use apricotwell_records::{
     Body, Decide, OperatorKey, Put, Record, Retire, ServerGone, ServerUp, Settle, SettleOutcome,
@@ -12,13 +12,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-struct Fold {
+struct Fixture {
     state: State,
     sequence: u64,
     change: u64,
 }
 
-impl Fold {
+impl Fixture {
     fn new() -> Self {
         let root = OperatorKey::from_seed([1; 32]);
         let genesis = Genesis {
@@ -32,27 +32,27 @@
         }
     }
 
-    // One engine with 100 MiB and one model of 60 MiB whose shard is held by `a`.
+    // One engine with 100 MiB, and two models of 60 MiB each. Instance `a` holds all shards.
     fn with_engine() -> Self {
-        let mut fold = Self::new();
+        let mut fixture = Self::new();
         let pool = "kind = \"engine\"\nmemory_mib = 100\nslots = 4\n";
-        assert_eq!(fold.put("/platform/pools/p", Some(pool), 0), Ok(()));
+        assert_eq!(fixture.put("/platform/pools/p", Some(pool), 0), Ok(()));
         for name in ["m", "n"] {
             let model = "version = \"1\"\nmemory_mib = 60\npool = \"p\"\nmax_replicas = 1\n";
             assert_eq!(
-                fold.put(&format!("/platform/models/{name}"), Some(model), 0),
+                fixture.put(&format!("/platform/models/{name}"), Some(model), 0),
                 Ok(())
             );
         }
-        assert_eq!(fold.write("a", up("s", 1)), Ok(()));
+        assert_eq!(fixture.write("a", server_up("s", 1)), Ok(()));
         let take = Take {
             shards: vec![0, 1, 2, 3],
             fences: vec![0; 4],
             holder: "a".to_owned(),
             incarnation: 1,
         };
-        assert_eq!(fold.write("a", Body::Take(take)), Ok(()));
-        fold
+        assert_eq!(fixture.write("a", Body::Take(take)), Ok(()));
+        fixture
     }
 
     fn apply(&mut self, record: &Record) -> Result<(), RejectReason> {
@@ -128,7 +128,7 @@
     }
 }
 
-fn up(server: &str, incarnation: u64) -> Body {
+fn server_up(server: &str, incarnation: u64) -> Body {
     Body::ServerUp(ServerUp {
         server: server.to_owned(),
         incarnation,
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_repeated_record_has_no_effect() {
-    let mut fold = Fold::with_engine();
+    let mut fixture = Fixture::with_engine();
     let record = Record::new(
         "a",
         1,
@@ -150,12 +150,12 @@
             digest: vec![1; 16],
         }),
     );
-    assert_eq!(fold.apply(&record), Ok(()));
-    assert_eq!(fold.apply(&record), Err(RejectReason::Duplicate));
+    assert_eq!(fixture.apply(&record), Ok(()));
+    assert_eq!(fixture.apply(&record), Err(RejectReason::Duplicate));
     let digest = BodyDigest([1; 16]);
-    assert_eq!(fold.state.crash_count(digest), 1);
-    // A later process of the same name begins anew; the ended one's records come too late.
-    let next = Record::new(
+    assert_eq!(fixture.state.crash_count(digest), 1);
+    // A restarted process numbers its records from 1. Later records of the old one are rejected.
+    let restarted = Record::new(
         "a",
         2,
         1,
@@ -163,8 +163,8 @@
             digest: vec![1; 16],
         }),
     );
-    assert_eq!(fold.apply(&next), Ok(()));
-    let late = Record::new(
+    assert_eq!(fixture.apply(&restarted), Ok(()));
+    let outdated = Record::new(
         "a",
         1,
         100,
@@ -172,41 +172,47 @@
             digest: vec![1; 16],
         }),
     );
-    assert_eq!(fold.apply(&late), Err(RejectReason::Duplicate));
-    assert!(fold.state.is_quarantined(digest));
+    assert_eq!(fixture.apply(&outdated), Err(RejectReason::Duplicate));
+    assert!(fixture.state.is_quarantined(digest));
 }
 
 #[test]
-fn only_the_holder_decides_at_the_present_fence() {
-    let mut fold = Fold::with_engine();
-    let fence = fold.fence("m");
-    assert_eq!(fold.decide("b", "m", fence), Err(RejectReason::StaleFence));
+fn only_the_holder_decides_with_the_current_fence() {
+    let mut fixture = Fixture::with_engine();
+    let fence = fixture.fence("m");
     assert_eq!(
-        fold.decide("a", "m", fence - 1),
+        fixture.decide("b", "m", fence),
         Err(RejectReason::StaleFence)
     );
-    let shard = fold.state.model_shard("m");
+    assert_eq!(
+        fixture.decide("a", "m", fence - 1),
+        Err(RejectReason::StaleFence)
+    );
+    let shard = fixture.state.model_shard("m");
     let take = Take {
         shards: vec![shard],
         fences: vec![fence],
         holder: "b".to_owned(),
         incarnation: 1,
     };
-    assert_eq!(fold.write("b", Body::Take(take.clone())), Ok(()));
+    assert_eq!(fixture.write("b", Body::Take(take.clone())), Ok(()));
+    assert_eq!(
+        fixture.write("c", Body::Take(take)),
+        Err(RejectReason::StaleFence)
+    );
     assert_eq!(
-        fold.write("c", Body::Take(take)),
+        fixture.decide("a", "m", fence),
         Err(RejectReason::StaleFence)
     );
-    assert_eq!(fold.decide("a", "m", fence), Err(RejectReason::StaleFence));
-    assert_eq!(fold.decide("b", "m", fold.fence("m")), Ok(()));
+    assert_eq!(fixture.decide("b", "m", fixture.fence("m")), Ok(()));
 }
 
 #[test]
 fn memory_counts_from_decision_to_confirmed_unload() {
-    let mut fold = Fold::with_engine();
-    let (m, n) = (fold.fence("m"), fold.fence("n"));
-    assert_eq!(fold.decide("a", "m", m), Ok(()));
-    let replica = fold.replica();
+    let mut fixture = Fixture::with_engine();
+    let (m, n) = (fixture.fence("m"), fixture.fence("n"));
+    assert_eq!(fixture.decide("a", "m", m), Ok(()));
+    let replica = fixture.replica();
     let settle = |outcome: SettleOutcome| {
         let outcome = outcome as i32;
         Body::Settle(Settle {
@@ -215,36 +221,39 @@
             outcome,
         })
     };
-    let full = Err(RejectReason::MemoryLimit);
-    assert_eq!(fold.decide("a", "n", n), full);
-    assert_eq!(fold.write("a", settle(SettleOutcome::Loaded)), Ok(()));
-    assert_eq!(fold.decide("a", "n", n), full);
+    let no_memory = Err(RejectReason::MemoryLimit);
+    assert_eq!(fixture.decide("a", "n", n), no_memory);
+    assert_eq!(fixture.write("a", settle(SettleOutcome::Loaded)), Ok(()));
+    assert_eq!(fixture.decide("a", "n", n), no_memory);
     assert_eq!(
-        fold.write("a", settle(SettleOutcome::Absent)),
+        fixture.write("a", settle(SettleOutcome::Absent)),
         Err(RejectReason::WrongPhase)
     );
     assert_eq!(
-        fold.write("a", Body::Retire(Retire { replica, fence: m })),
+        fixture.write("a", Body::Retire(Retire { replica, fence: m })),
         Ok(())
     );
-    assert_eq!(fold.decide("a", "n", n), full);
-    assert_eq!(fold.write("a", settle(SettleOutcome::Absent)), Ok(()));
-    assert_eq!(fold.decide("a", "n", n), Ok(()));
+    assert_eq!(fixture.decide("a", "n", n), no_memory);
+    assert_eq!(fixture.write("a", settle(SettleOutcome::Absent)), Ok(()));
+    assert_eq!(fixture.decide("a", "n", n), Ok(()));
 }
 
 #[test]
-fn a_restart_ends_what_was_loaded_and_late_records_of_it() {
-    let mut fold = Fold::with_engine();
-    let (m, n) = (fold.fence("m"), fold.fence("n"));
-    assert_eq!(fold.decide("a", "m", m), Ok(()));
-    assert_eq!(fold.write("b", up("s", 2)), Ok(()));
-    assert_eq!(fold.state.ledger().replicas().count(), 0);
+fn a_restart_drops_replicas_and_rejects_late_records() {
+    let mut fixture = Fixture::with_engine();
+    let (m, n) = (fixture.fence("m"), fixture.fence("n"));
+    assert_eq!(fixture.decide("a", "m", m), Ok(()));
+    assert_eq!(fixture.write("b", server_up("s", 2)), Ok(()));
+    assert_eq!(fixture.state.ledger().replicas().count(), 0);
     assert_eq!(
-        fold.write("b", up("s", 1)),
+        fixture.write("b", server_up("s", 1)),
         Err(RejectReason::UnknownTarget)
     );
-    assert_eq!(fold.decide("a", "n", n), Err(RejectReason::UnknownTarget));
-    assert_eq!(fold.decide_on("a", "n", n, "s", 2), Ok(()));
+    assert_eq!(
+        fixture.decide("a", "n", n),
+        Err(RejectReason::UnknownTarget)
+    );
+    assert_eq!(fixture.decide_on("a", "n", n, "s", 2), Ok(()));
     let gone = |incarnation| {
         let server = "s".to_owned();
         Body::ServerGone(ServerGone {
@@ -252,81 +261,84 @@
             incarnation,
         })
     };
-    assert_eq!(fold.write("b", gone(1)), Err(RejectReason::UnknownTarget));
-    assert_eq!(fold.write("b", gone(2)), Ok(()));
-    assert_eq!(fold.state.ledger().used_memory("s"), 0);
+    assert_eq!(
+        fixture.write("b", gone(1)),
+        Err(RejectReason::UnknownTarget)
+    );
+    assert_eq!(fixture.write("b", gone(2)), Ok(()));
+    assert_eq!(fixture.state.ledger().used_memory("s"), 0);
 }
 
 #[test]
 fn a_model_has_no_more_replicas_than_its_settings_allow() {
-    let mut fold = Fold::with_engine();
-    assert_eq!(fold.write("a", up("t", 1)), Ok(()));
-    let fence = fold.fence("m");
-    assert_eq!(fold.decide("a", "m", fence), Ok(()));
+    let mut fixture = Fixture::with_engine();
+    assert_eq!(fixture.write("a", server_up("t", 1)), Ok(()));
+    let fence = fixture.fence("m");
+    assert_eq!(fixture.decide("a", "m", fence), Ok(()));
     assert_eq!(
-        fold.decide_on("a", "m", fence, "t", 1),
+        fixture.decide_on("a", "m", fence, "t", 1),
         Err(RejectReason::ReplicaLimit)
     );
-    // Nobody knows what became of the earlier holder's load: its memory stays taken.
+    // The outcome of the earlier holder's load is unknown, so its memory stays reserved.
     let take = Take {
-        shards: vec![fold.state.model_shard("m")],
+        shards: vec![fixture.state.model_shard("m")],
         fences: vec![fence],
         holder: "b".to_owned(),
         incarnation: 1,
     };
-    assert_eq!(fold.write("b", Body::Take(take)), Ok(()));
-    let fence = fold.fence("m");
-    assert_eq!(fold.decide_on("b", "m", fence, "t", 1), Ok(()));
+    assert_eq!(fixture.write("b", Body::Take(take)), Ok(()));
+    let fence = fixture.fence("m");
+    assert_eq!(fixture.decide_on("b", "m", fence, "t", 1), Ok(()));
     assert_eq!(
         (
-            fold.state.ledger().used_memory("s"),
-            fold.state.ledger().used_memory("t")
+            fixture.state.ledger().used_memory("s"),
+            fixture.state.ledger().used_memory("t")
         ),
         (60, 60)
     );
 }
 
 #[test]
-fn adapters_need_their_base_and_keep_it() {
-    let mut fold = Fold::with_engine();
+fn adapters_require_their_base_and_block_its_retirement() {
+    let mut fixture = Fixture::with_engine();
     let adapter = "base = \"m\"\nversion = \"1\"\nmemory_mib = 10\n";
-    assert_eq!(fold.put("/teams/o/adapters/x", Some(adapter), 0), Ok(()));
-    let fence = fold.fence("m");
+    assert_eq!(fixture.put("/teams/o/adapters/x", Some(adapter), 0), Ok(()));
+    let fence = fixture.fence("m");
     assert_eq!(
-        fold.decide("a", "m:o/x", fence),
+        fixture.decide("a", "m:o/x", fence),
         Err(RejectReason::UnknownTarget)
     );
-    assert_eq!(fold.decide("a", "m", fence), Ok(()));
-    let base = fold.replica();
+    assert_eq!(fixture.decide("a", "m", fence), Ok(()));
+    let base = fixture.replica();
     let outcome = SettleOutcome::Loaded as i32;
     let settle = Settle {
         replica: base,
         fence,
         outcome,
     };
-    assert_eq!(fold.write("a", Body::Settle(settle)), Ok(()));
-    assert_eq!(fold.decide("a", "m:o/x", fence), Ok(()));
+    assert_eq!(fixture.write("a", Body::Settle(settle)), Ok(()));
+    assert_eq!(fixture.decide("a", "m:o/x", fence), Ok(()));
     let retire = Body::Retire(Retire {
         replica: base,
         fence,
     });
-    assert_eq!(fold.write("a", retire), Err(RejectReason::WrongPhase));
+    assert_eq!(fixture.write("a", retire), Err(RejectReason::WrongPhase));
     assert_eq!(
-        fold.state.ledger().replica(base).unwrap().phase,
+        fixture.state.ledger().replica(base).unwrap().phase,
         ReplicaPhase::Loaded
     );
 }
 
 #[test]
-fn teams_write_below_their_own_path_only() {
-    let mut fold = Fold::new();
+fn teams_write_only_below_their_own_path() {
+    let mut fixture = Fixture::new();
     let team = OperatorKey::from_seed([2; 32]);
     let operator = format!(
         "public_key = \"{}\"\nsubtree = \"/teams/o\"\n",
         team.public_hex()
     );
     assert_eq!(
-        fold.put("/platform/operators/t", Some(&operator), 0),
+        fixture.put("/platform/operators/t", Some(&operator), 0),
         Ok(())
     );
     let digest = KeyDigest::of_secret("s").to_hex();
@@ -339,49 +351,49 @@
     ];
     for (path, expected) in table {
         assert_eq!(
-            fold.put_as("t", &team, path, Some(&key), 0),
+            fixture.put_as("t", &team, path, Some(&key), 0),
             expected,
             "{path}"
         );
     }
     let stranger = OperatorKey::from_seed([3; 32]);
-    let forged = fold.put_as("t", &stranger, "/teams/o/keys/l", Some(&key), 0);
+    let forged = fixture.put_as("t", &stranger, "/teams/o/keys/l", Some(&key), 0);
     assert_eq!(forged, Err(RejectReason::InvalidSignature));
-    let unknown = fold.put_as("u", &stranger, "/teams/o/keys/l", Some(&key), 0);
+    let unknown = fixture.put_as("u", &stranger, "/teams/o/keys/l", Some(&key), 0);
     assert_eq!(unknown, Err(RejectReason::UnknownOperator));
-    // The digest of a key in force can't be claimed for another organisation.
-    let stolen = fold.put("/teams/other/keys/k", Some(&key), 0);
+    // Another organisation can't claim the digest of a key that is in use.
+    let stolen = fixture.put("/teams/other/keys/k", Some(&key), 0);
     assert!(
         matches!(stolen, Err(RejectReason::Malformed(_))),
         "{stolen:?}"
     );
-    let holder = fold.state.key_owner(&KeyDigest::of_secret("s")).unwrap();
-    assert_eq!(&*holder.org, "o");
+    let owner = fixture.state.key_owner(&KeyDigest::of_secret("s")).unwrap();
+    assert_eq!(&*owner.org, "o");
 }
 
 #[test]
-fn versions_only_grow() {
-    let mut fold = Fold::new();
+fn versions_only_increase() {
+    let mut fixture = Fixture::new();
     let path = "/platform/store";
     let value = |loads: u32| format!("parallel_loads = {loads}\nparallel_adapters = 1\n");
-    assert_eq!(fold.put(path, Some(&value(1)), 0), Ok(()));
+    assert_eq!(fixture.put(path, Some(&value(1)), 0), Ok(()));
     assert_eq!(
-        fold.put(path, Some(&value(2)), 0),
+        fixture.put(path, Some(&value(2)), 0),
         Err(RejectReason::VersionConflict(1))
     );
-    assert_eq!(fold.put(path, None, 1), Ok(()));
-    let version = fold.state.config().get(path).unwrap().version;
+    assert_eq!(fixture.put(path, None, 1), Ok(()));
+    let version = fixture.state.config().get(path).unwrap().version;
     assert_eq!(
-        fold.put(path, Some(&value(3)), 0),
+        fixture.put(path, Some(&value(3)), 0),
         Err(RejectReason::VersionConflict(version))
     );
-    assert_eq!(fold.put(path, Some(&value(3)), version), Ok(()));
-    assert_eq!(fold.state.store().parallel_loads, 3);
+    assert_eq!(fixture.put(path, Some(&value(3)), version), Ok(()));
+    assert_eq!(fixture.state.store().parallel_loads, 3);
 }
 
 #[test]
-fn bad_values_name_path_and_remedy() {
-    let mut fold = Fold::new();
+fn errors_for_invalid_values_name_the_remedy() {
+    let mut fixture = Fixture::new();
     let table = [
         ("/platform/mo dels/m", "", "is not a path"),
         ("/platform/nothing", "", "see docs/SETTINGS.md"),
@@ -409,7 +421,7 @@
         ),
     ];
     for (path, value, expected) in table {
-        let Err(RejectReason::Malformed(reason)) = fold.put(path, Some(value), 0) else {
+        let Err(RejectReason::Malformed(reason)) = fixture.put(path, Some(value), 0) else {
             panic!("{path}: accepted");
         };
         assert!(reason.contains(expected), "{path}: {reason}");
@@ -417,18 +429,18 @@
 }
 
 #[test]
-fn checkpoints_survive_any_order_and_tell_torn_ones() {
-    let mut fold = Fold::with_engine();
+fn chunks_assemble_in_any_order_and_corruption_is_detected() {
+    let mut fixture = Fixture::with_engine();
     for index in 0..2000 {
         let value = "version = \"1\"\nmemory_mib = 1\npool = \"p\"\n";
         assert_eq!(
-            fold.put(&format!("/platform/models/m{index}"), Some(value), 0),
+            fixture.put(&format!("/platform/models/m{index}"), Some(value), 0),
             Ok(())
         );
     }
-    let genesis = fold.state.genesis().clone();
-    let mut chunks = chunk_checkpoint(&fold.state, "a", 1);
-    let others = chunk_checkpoint(&fold.state, "b", 1);
+    let genesis = fixture.state.genesis().clone();
+    let mut chunks = chunk_checkpoint(&fixture.state, "a", 1);
+    let others = chunk_checkpoint(&fixture.state, "b", 1);
     assert!(chunks.len() > 1);
     chunks.reverse();
     let mut assembler = CheckpointAssembler::default();
@@ -439,9 +451,9 @@
         found = assembler.push(chunk.clone()).unwrap();
     }
     let state = restore_checkpoint(&found.unwrap(), &genesis).unwrap();
-    assert_eq!(state.next(), fold.state.next());
+    assert_eq!(state.next(), fixture.state.next());
     assert_eq!(state.models().count(), 2002);
-    assert_eq!(state.ledger(), fold.state.ledger());
+    assert_eq!(state.ledger(), fixture.state.ledger());
 
     chunks[0].bytes[7] ^= 1;
     let mut assembler = CheckpointAssembler::default();
@@ -470,10 +482,10 @@
     })]
 
     #[test]
-    fn no_bytes_panic_and_all_readers_agree(
+    fn arbitrary_bytes_never_panic_and_all_readers_agree(
         records in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..60), 0..30),
     ) {
-        let mut one = Fold::with_engine().state;
+        let mut one = Fixture::with_engine().state;
         let mut other = one.clone();
         for bytes in &records {
             let offset = one.next();
