--- a/crates/apricotwell_gateway/src/budget.rs
+++ b/crates/apricotwell_gateway/src/budget.rs
@@ -1,42 +1,42 @@
-//! Bounds on what all callers together may take of an instance.
+//! Limits on resources that all client requests of an instance share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Amount of something of which only so much may be in use.
+/// Limited amount of a resource, shared by clones.
 #[derive(Clone, Debug)]
 pub struct Budget {
     left: Rc<Cell<usize>>,
 }
 
-/// Part of a [`Budget`] in use until it is dropped.
+/// Reserved amount of a [`Budget`]; returned to it on drop.
 #[derive(Debug)]
-pub struct Share {
+pub struct Reservation {
     amount: usize,
     left: Rc<Cell<usize>>,
 }
 
 impl Budget {
-    /// Returns a budget of which nothing is in use.
+    /// Creates a budget of `amount` with nothing reserved.
     pub fn new(amount: usize) -> Self {
         Self {
             left: Rc::new(Cell::new(amount)),
         }
     }
 
-    /// Takes an amount, `None` if less is left.
-    pub fn take(&self, amount: usize) -> Option<Share> {
+    /// Reserves `amount`; returns `None` if less is left.
+    pub fn try_reserve(&self, amount: usize) -> Option<Reservation> {
         let left = self.left.get().checked_sub(amount)?;
         self.left.set(left);
-        Some(Share {
+        Some(Reservation {
             amount,
             left: Rc::clone(&self.left),
         })
     }
 }
 
-impl Share {
-    /// Takes so much more; returns whether that was left.
+impl Reservation {
+    /// Reserves `amount` more; returns `false` and changes nothing if less is left.
     pub fn grow(&mut self, amount: usize) -> bool {
         let Some(left) = self.left.get().checked_sub(amount) else {
             return false;
@@ -47,7 +47,7 @@
     }
 }
 
-impl Drop for Share {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.left.set(self.left.get() + self.amount);
     }
--- a/crates/apricotwell_gateway/src/clock.rs
+++ b/crates/apricotwell_gateway/src/clock.rs
@@ -1,14 +1,14 @@
-//! A steady clock that counts the time in which the machine was suspended.
+//! A monotonic clock that includes the time during which the machine was suspended.
 
 use std::time::{Duration, Instant};
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Clock for leases and the age of views.
+/// Clock for leases and for the age of cached state.
 ///
-/// [`Instant::now`] stands still while a machine is suspended, so a lease timed by it would seem to
-/// be valid long after others took it over. The instants of this clock may be compared only with
-/// each other, and never be given to timers.
+/// [`Instant::now`] does not advance while the machine is suspended, so a lease measured with it
+/// would appear valid long after another instance took it over. Instants of this clock must only be
+/// compared with each other and must not be passed to timers.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
     start: Instant,
@@ -16,7 +16,7 @@
 }
 
 impl BootClock {
-    /// Returns a clock.
+    /// Creates a clock that starts at the current time.
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns the present instant.
+    /// Returns the current time.
     pub fn now(&self) -> Instant {
         self.start + since_boot().saturating_sub(self.booted)
     }
--- a/crates/apricotwell_gateway/src/daemon.rs
+++ b/crates/apricotwell_gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The instance as a process: listeners, tasks and signals.
+//! The instance process: listeners, background tasks, signals and shutdown.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,32 +20,33 @@
 use crate::adapter::{ClientProtocol, Platform};
 use crate::events::{Event, FLUSH_INTERVAL, LineWriter};
 use crate::gateway::Gateway;
-use crate::{feeds, fleet, front, heartbeats, placing, pool, spending};
+use crate::{feeds, heartbeats, membership, placement, pool, requests, usage};
 
-/// Connections that wait to be accepted.
+/// Backlog of connections that wait to be accepted.
 const BACKLOG: u32 = 512;
-/// Bytes of a request's head that are taken at most, if the configuration names no other bound.
-const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Time in which an idle connection for questions is closed.
-const QUESTION_IDLE: Duration = Duration::from_secs(10);
-/// Part of the grace that is left for the process to end.
-const END_MARGIN: Duration = Duration::from_millis(900);
-/// Least time after a request to stop in which callers that just looked up may still connect.
-const LEAST_LINGER: Duration = Duration::from_millis(3200);
-/// Time that the last lines of the log get.
-const LAST_LINES_TIMEOUT: Duration = Duration::from_millis(100);
-/// Pause between looks whether they are written.
-const LAST_LINES_PAUSE: Duration = Duration::from_millis(5);
-/// Batches of log lines between two lines that sum up the instance's state.
+/// Upper bound on the size of a request head; the configuration can only set a lower limit.
+const MAX_HEADER_BYTES: usize = 64 << 10;
+/// Time after which an idle connection to an auxiliary endpoint is closed.
+const AUXILIARY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Part of the grace period reserved for the exit of the process itself.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(900);
+/// Minimum time between a request to stop and the closing of client connections, so that clients that
+/// looked up this instance's address shortly before can still connect.
+const MIN_SHUTDOWN_DELAY: Duration = Duration::from_millis(3200);
+/// Time limit for writing the last log lines.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
+/// Interval at which the writing of the last log lines is checked.
+const LOG_FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Log flushes between two `status` events.
 const FLUSHES_PER_STATUS: u32 = 40;
-/// Pause after a failure to accept, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Runs an instance until `stop` ends, and then for as long as its requests need.
+/// Runs an instance until `stop` completes, then shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// Fails when an address can't be listened on.
+/// Fails if an address can't be listened on or if `stop` fails.
 pub async fn run<P, F>(gateway: Rc<Gateway<P>>, lines: LineWriter, stop: F) -> std::io::Result<()>
 where
     P: Platform,
@@ -53,9 +54,9 @@
 {
     let listeners = gateway.listeners.clone();
     let socket = Rc::new(UdpSocket::bind(&listeners.peers).await?);
-    let callers = listen(&listeners.clients)?;
+    let clients = listen(&listeners.clients)?;
     let readiness = listen(&listeners.readiness)?;
-    let look_up = listen(&listeners.lookup)?;
+    let lookup = listen(&listeners.lookup)?;
     Event::new("started")
         .with("callers", listeners.clients.as_str())
         .with("peers", listeners.peers.as_str())
@@ -64,25 +65,28 @@
         let (gateway, socket) = (Rc::clone(&gateway), Rc::clone(&socket));
         actix::spawn(feeds::follow(gateway, socket, feed));
     }
-    actix::spawn(fleet::renew_membership(Rc::clone(&gateway)));
-    actix::spawn(heartbeats::tell(Rc::clone(&gateway), Rc::clone(&socket)));
-    actix::spawn(heartbeats::listen(Rc::clone(&gateway), socket));
-    actix::spawn(placing::place(Rc::clone(&gateway)));
-    actix::spawn(spending::keep(Rc::clone(&gateway)));
-    actix::spawn(accept(Rc::clone(&gateway), readiness, questions::<P>));
-    actix::spawn(accept(Rc::clone(&gateway), look_up, questions::<P>));
+    actix::spawn(membership::run(Rc::clone(&gateway)));
+    actix::spawn(heartbeats::broadcast(
+        Rc::clone(&gateway),
+        Rc::clone(&socket),
+    ));
+    actix::spawn(heartbeats::receive(Rc::clone(&gateway), socket));
+    actix::spawn(placement::run(Rc::clone(&gateway)));
+    actix::spawn(usage::run(Rc::clone(&gateway)));
+    actix::spawn(accept(Rc::clone(&gateway), readiness, serve_auxiliary::<P>));
+    actix::spawn(accept(Rc::clone(&gateway), lookup, serve_auxiliary::<P>));
     if let Some(address) = &listeners.metrics {
         let metrics = listen(address)?;
-        actix::spawn(accept(Rc::clone(&gateway), metrics, questions::<P>));
+        actix::spawn(accept(Rc::clone(&gateway), metrics, serve_auxiliary::<P>));
     }
-    actix::spawn(accept(Rc::clone(&gateway), callers, serve_callers::<P>));
-    actix::spawn(keep_house(Rc::clone(&gateway), lines.clone()));
+    actix::spawn(accept(Rc::clone(&gateway), clients, serve_client::<P>));
+    actix::spawn(run_maintenance(Rc::clone(&gateway), lines.clone()));
     stop.await?;
-    finish(&gateway).await;
+    shut_down(&gateway).await;
     lines.flush();
     let begun = Instant::now();
-    while !lines.is_written() && begun.elapsed() < LAST_LINES_TIMEOUT {
-        tokio::time::sleep(LAST_LINES_PAUSE).await;
+    while !lines.is_written() && begun.elapsed() < LOG_FLUSH_TIMEOUT {
+        tokio::time::sleep(LOG_FLUSH_POLL_INTERVAL).await;
     }
     Ok(())
 }
@@ -106,26 +110,28 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if let Err(error) = pool::watch(&stream) {
-                    log::debug!("connection not watched: {error}");
+                if let Err(error) = pool::configure_socket(&stream) {
+                    log::debug!("socket options not set: {error}");
                 }
                 actix::spawn(serve(Rc::clone(&gateway), stream));
             }
             Err(error) => {
-                log::warn!("connection not accepted: {error}; raise the descriptor limit");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(
+                    "failed to accept a connection: {error}; raise the file descriptor limit"
+                );
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_callers<P>(gateway: Rc<Gateway<P>>, stream: TcpStream)
+async fn serve_client<P>(gateway: Rc<Gateway<P>>, stream: TcpStream)
 where
     P: Platform,
 {
-    let Some(_connection) = gateway.connections.take(1) else {
-        // The caller is told by the close and connects elsewhere.
-        log::warn!("connection of a caller closed: too many; add instances");
+    let Some(_connection) = gateway.connection_budget.try_reserve(1) else {
+        // The client sees the connection close and connects to another instance.
+        log::warn!("client connection closed: too many connections; add instances");
         return;
     };
     let limits = {
@@ -137,18 +143,20 @@
             .unwrap_or_default()
     };
     let shared = Rc::clone(&gateway);
-    let service = service_fn(move |request| front::serve(Rc::clone(&shared), request));
+    let service = service_fn(move |request| requests::serve(Rc::clone(&shared), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.header_bytes.clamp(8 << 10, MAX_HEAD_BYTES))
+        .max_buf_size(limits.header_bytes.clamp(8 << 10, MAX_HEADER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
-    drive(&gateway, connection).await;
+    drive_connection(&gateway, connection).await;
 }
 
-// Drives a connection; when the instance stops, lets the answer under way end and then closes it.
-async fn drive<P, H, B>(gateway: &Gateway<P>, connection: http1::Connection<TokioIo<TcpStream>, H>)
-where
+// Runs a connection to its end. On shutdown, closes it after the response in progress.
+async fn drive_connection<P, H, B>(
+    gateway: &Gateway<P>,
+    connection: http1::Connection<TokioIo<TcpStream>, H>,
+) where
     P: Platform,
     H: hyper::service::HttpService<Incoming, ResBody = B>,
     H::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -156,34 +164,35 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let mut connection = pin!(connection);
-    let stopping = pin!(gateway.stopping.notified());
+    let stopping = pin!(gateway.shutdown.notified());
     let ended = futures_util::future::select(connection.as_mut(), stopping).await;
     if let futures_util::future::Either::Right(_) = ended {
         connection.as_mut().graceful_shutdown();
         if let Err(error) = connection.await {
-            log::debug!("caller's connection ended: {error}");
+            log::debug!("client connection ended: {error}");
         }
     }
 }
 
-async fn questions<P>(gateway: Rc<Gateway<P>>, stream: TcpStream)
+// Serves readiness checks, address lookups and metrics.
+async fn serve_auxiliary<P>(gateway: Rc<Gateway<P>>, stream: TcpStream)
 where
     P: Platform,
 {
     let service = service_fn(move |request: Request<Incoming>| {
-        let answer = question(&gateway, request);
-        async move { Ok::<_, std::convert::Infallible>(answer) }
+        let response = auxiliary_response(&gateway, request);
+        async move { Ok::<_, std::convert::Infallible>(response) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(QUESTION_IDLE)
+        .header_read_timeout(AUXILIARY_IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
-        log::debug!("connection for questions ended: {error}");
+        log::debug!("connection to an auxiliary endpoint ended: {error}");
     }
 }
 
-fn question<P>(gateway: &Gateway<P>, request: Request<Incoming>) -> Response<Full<Bytes>>
+fn auxiliary_response<P>(gateway: &Gateway<P>, request: Request<Incoming>) -> Response<Full<Bytes>>
 where
     P: Platform,
 {
@@ -219,7 +228,8 @@
     empty(StatusCode::NOT_FOUND)
 }
 
-async fn keep_house<P>(gateway: Rc<Gateway<P>>, lines: LineWriter)
+// Flushes the log, closes expired connections and logs the status at intervals.
+async fn run_maintenance<P>(gateway: Rc<Gateway<P>>, lines: LineWriter)
 where
     P: Platform,
 {
@@ -231,7 +241,7 @@
             log_status(&gateway);
         }
         gateway.pool.expire();
-        gateway.metrics.note_dropped_lines(lines.dropped());
+        gateway.metrics.set_dropped_lines(lines.dropped());
         lines.flush();
     }
 }
@@ -244,7 +254,7 @@
     let dispatcher = gateway.dispatcher.borrow();
     let mut event = Event::new("status")
         .with("ready", dispatcher.is_ready(now))
-        .with("active", gateway.active.get())
+        .with("active", gateway.active_requests.get())
         .with("heard", dispatcher.peers.heard(now))
         .with("possible", dispatcher.peers.possible())
         .with("fence", dispatcher.lease.fence(now));
@@ -254,45 +264,47 @@
     event.log();
 }
 
-/// Ends when the process is told to stop; a hangup is only noted, since the settings that may change
-/// concern the next start.
+/// Waits for SIGTERM or SIGINT.
+///
+/// SIGHUP is only logged, since settings are read at the start of the process.
 ///
 /// # Errors
 ///
-/// Fails when signals can't be received.
+/// Fails if the signal handlers can't be installed.
 pub async fn stop_signal() -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let mut reload = signal(SignalKind::hangup())?;
+    let mut hangup = signal(SignalKind::hangup())?;
     loop {
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            _ = reload.recv() => Event::new("reload").log(),
+            _ = hangup.recv() => Event::new("reload").log(),
         }
     }
 }
 
-async fn finish<P>(gateway: &Rc<Gateway<P>>)
+// Leaves the fleet, then waits for the requests in progress, for the grace period at most.
+async fn shut_down<P>(gateway: &Rc<Gateway<P>>)
 where
     P: Platform,
 {
-    gateway.stopped.set(Some(gateway.now()));
+    gateway.stop_requested.set(Some(gateway.now()));
     Event::new("stopping")
-        .with("active", gateway.active.get())
+        .with("active", gateway.active_requests.get())
         .log();
     gateway.dispatcher.borrow_mut().leave();
-    gateway.gossip.notify_one();
+    gateway.heartbeat_due.notify_one();
     let begun = Instant::now();
     let leaving = Rc::clone(gateway);
-    actix::spawn(async move { fleet::leave(&leaving).await });
-    let end = gateway.times.grace.saturating_sub(END_MARGIN);
-    tokio::time::sleep(LEAST_LINGER.min(end)).await;
-    gateway.stopping.notify_waiters();
-    while begun.elapsed() < end && gateway.active.get() > 0 {
+    actix::spawn(async move { membership::leave(&leaving).await });
+    let end = gateway.times.grace.saturating_sub(SHUTDOWN_MARGIN);
+    tokio::time::sleep(MIN_SHUTDOWN_DELAY.min(end)).await;
+    gateway.shutdown.notify_waiters();
+    while begun.elapsed() < end && gateway.active_requests.get() > 0 {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     Event::new("stopped")
-        .with("cut", gateway.active.get())
+        .with("cut", gateway.active_requests.get())
         .log();
 }
--- a/crates/apricotwell_gateway/src/events.rs
+++ b/crates/apricotwell_gateway/src/events.rs
@@ -1,4 +1,4 @@
-//! Log lines: JSON on the standard output, bounded and never blocking.
+//! Structured logging: JSON lines on standard output, bounded and non-blocking.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,23 +8,23 @@
 
 use serde_json::{Map, Value};
 
-/// Bytes of lines that wait for the writer; further lines are dropped and counted.
+/// Limit on the bytes of buffered lines; lines beyond it are dropped and counted.
 const BUFFER_BYTES: usize = 256 << 10;
-/// Batches on their way to the writer.
-const BATCHES: usize = 4;
-/// Time between batches.
+/// Capacity of the channel of batches to the writer thread.
+const MAX_BATCHES: usize = 4;
+/// Interval between flushes of the buffer.
 pub const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Lines on their way to the standard output.
+/// Non-blocking line writer.
 ///
-/// Lines gather in a bounded buffer and go to a thread of their own in batches, so that a reader who
-/// stops reading stops nothing but the lines.
+/// Lines are collected in a bounded buffer and written in batches by a dedicated thread, so a stalled
+/// reader of the output loses lines but never blocks the process.
 #[derive(Clone)]
 pub struct LineWriter {
     buffer: Arc<Mutex<Vec<u8>>>,
     batches: SyncSender<Vec<u8>>,
-    // Batches that the writer has not written yet.
-    open: Arc<AtomicU64>,
+    // Number of batches sent to the writer thread and not yet written.
+    pending: Arc<AtomicU64>,
     dropped: Arc<AtomicU64>,
 }
 
@@ -34,28 +34,28 @@
     where
         W: Write + Send + 'static,
     {
-        let (batches, receiver) = sync_channel::<Vec<u8>>(BATCHES);
-        let open = Arc::<AtomicU64>::default();
-        let written = Arc::clone(&open);
+        let (batches, receiver) = sync_channel::<Vec<u8>>(MAX_BATCHES);
+        let pending = Arc::<AtomicU64>::default();
+        let written = Arc::clone(&pending);
         std::thread::spawn(move || {
             for batch in receiver {
                 let result = output.write_all(&batch).and_then(|()| output.flush());
                 written.fetch_sub(1, Ordering::Release);
-                // There is nowhere left to say that the output is gone.
+                // The output is closed, so the error can't be reported anywhere.
                 if result.is_err() {
                     break;
                 }
             }
         });
         Self {
-            open,
+            pending,
             buffer: Arc::default(),
             batches,
             dropped: Arc::default(),
         }
     }
 
-    /// Adds a line, unless the buffer is full.
+    /// Adds a line to the buffer; drops it if the buffer is full.
     pub fn push(&self, line: &str) {
         let mut buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
         if buffer.len() + line.len() > BUFFER_BYTES {
@@ -66,40 +66,40 @@
         buffer.push(b'\n');
     }
 
-    /// Hands gathered lines to the writer, if it takes any.
+    /// Sends the buffered lines to the writer thread; keeps them if its channel is full.
     pub fn flush(&self) {
         let mut buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
         if buffer.is_empty() {
             return;
         }
         let batch = std::mem::take(&mut *buffer);
-        self.open.fetch_add(1, Ordering::Acquire);
+        self.pending.fetch_add(1, Ordering::Acquire);
         if let Err(
             std::sync::mpsc::TrySendError::Full(batch)
             | std::sync::mpsc::TrySendError::Disconnected(batch),
         ) = self.batches.try_send(batch)
         {
-            self.open.fetch_sub(1, Ordering::Release);
+            self.pending.fetch_sub(1, Ordering::Release);
             *buffer = batch;
         }
     }
 
-    /// Returns whether every line that was handed over is written.
+    /// Returns whether all flushed lines have been written.
     pub fn is_written(&self) -> bool {
-        self.open.load(Ordering::Acquire) == 0
+        self.pending.load(Ordering::Acquire) == 0
     }
 
-    /// Returns the number of lines dropped so far.
+    /// Returns the total number of dropped lines.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
-/// Sends log records of this process to `lines`, one JSON object each.
+/// Installs a logger that writes the records of this workspace's crates to `lines` as JSON objects.
 ///
 /// # Errors
 ///
-/// Fails when a logger is set already.
+/// Fails if a logger is already installed.
 pub fn init(instance: &str, lines: LineWriter) -> Result<(), log::SetLoggerError> {
     let instance = instance.to_owned();
     fern::Dispatch::new()
@@ -116,7 +116,7 @@
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
     let text = record.args().to_string();
-    // Events are objects already; anything else is a sentence.
+    // Events are already JSON objects; any other record is a plain message.
     match text.strip_prefix('{') {
         Some(rest) => format!(
             r#"{{"at_ms":{},"instance":"{instance}",{rest}"#,
@@ -132,14 +132,14 @@
     }
 }
 
-/// Builds the line of one event.
+/// Builder of the log line of one event.
 #[derive(Debug)]
 pub struct Event {
     fields: Map<String, Value>,
 }
 
 impl Event {
-    /// Begins an event.
+    /// Creates an event with a name and no other fields.
     pub fn new(name: &str) -> Self {
         let mut fields = Map::new();
         fields.insert("event".to_owned(), name.into());
@@ -155,7 +155,7 @@
         self
     }
 
-    /// Adds a time in milliseconds.
+    /// Adds a duration in milliseconds.
     pub fn with_time(self, name: &str, time: Duration) -> Self {
         self.with(name, time.as_millis() as u64)
     }
--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -13,25 +13,25 @@
 use crate::gateway::Gateway;
 
 /// Longest wait of one read of the configuration; bounds the age of the view on a quiet day.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(1500);
+const CONFIGURATION_READ_WAIT: Duration = Duration::from_millis(1500);
 /// Share of the time within which a leaving server must get no more work, that passes between two
 /// reads of the list of servers.
-const SERVERS_SHARE: f64 = 0.3;
+const SERVERS_READ_FRACTION: f64 = 0.3;
 /// Pause between two questions to another instance.
-const ASK_PAUSE: Duration = Duration::from_millis(500);
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 /// Age beyond which another instance's view of the configuration is not used.
 const MAX_CONFIGURATION_AGE: Duration = Duration::from_millis(2200);
 /// Share of the time within which a leaving server must get no more work, beyond which another
 /// instance's view of the list is not used.
-const MAX_SERVERS_SHARE: f64 = 0.6;
+const MAX_SERVERS_AGE_FRACTION: f64 = 0.6;
 /// Pause after a second call that the store did not serve; each further one adds as much. After the
 /// first there is none: most often only its connection was broken.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY_STEP: Duration = Duration::from_millis(400);
 /// Calls after which the pause grows no more.
-const MAX_PAUSES: u32 = 4;
+const MAX_RETRY_STEPS: u32 = 4;
 /// Time after an outage of the store in which servers that left the list are still used: the entries
 /// of those that live come back by then.
-const RETURN_TIME: Duration = Duration::from_millis(2200);
+const REJOIN_TIME: Duration = Duration::from_millis(2200);
 
 /// Follows one feed for ever.
 pub async fn follow<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>, feed: Feed)
@@ -82,26 +82,29 @@
         };
         let now = self.gateway.now();
         let source = self.gateway.dispatcher.borrow().feed_source(now);
-        self.note_source(&source);
+        self.set_source(&source);
         match (source, self.feed) {
-            (Source::Peer(peer), _) => match self.ask(&peer, from).await {
+            (Source::Peer(peer), _) => match self.query_peer(&peer, from).await {
                 Some(pause) => pause,
-                None => self.read_store(Duration::ZERO).await.max(ASK_PAUSE),
+                None => self
+                    .read_store(Duration::ZERO)
+                    .await
+                    .max(PEER_QUERY_INTERVAL),
             },
-            (Source::Store, Feed::Configuration) => self.read_store(CONFIGURATION_WAIT).await,
+            (Source::Store, Feed::Configuration) => self.read_store(CONFIGURATION_READ_WAIT).await,
             (Source::Store, Feed::Servers) => self.read_store(Duration::ZERO).await,
         }
     }
 
     // Asks another instance; returns the pause before the next question, `None` if its view is of no
     // use.
-    async fn ask(&mut self, peer: &InstanceId, from: Offset) -> Option<Duration> {
+    async fn query_peer(&mut self, peer: &InstanceId, from: Offset) -> Option<Duration> {
         let question = (self.feed, from);
         let clock = || self.gateway.now();
         let asked = self
             .gateway
-            .questions
-            .ask(&self.socket, peer, question, clock);
+            .feed_queries
+            .query(&self.socket, peer, question, clock);
         let Told {
             changes,
             next,
@@ -121,13 +124,13 @@
             return Some(Duration::ZERO);
         };
         let age = self.gateway.now().saturating_duration_since(current);
-        (age < self.max_age()).then_some(ASK_PAUSE)
+        (age < self.max_age()).then_some(PEER_QUERY_INTERVAL)
     }
 
     fn max_age(&self) -> Duration {
         match self.feed {
             Feed::Configuration => MAX_CONFIGURATION_AGE,
-            Feed::Servers => self.gateway.times.drain.mul_f64(MAX_SERVERS_SHARE),
+            Feed::Servers => self.gateway.times.drain.mul_f64(MAX_SERVERS_AGE_FRACTION),
         }
     }
 
@@ -140,8 +143,8 @@
         };
         match part {
             Ok(part) => {
-                self.gateway.metrics.note_store_call("read");
-                self.note_success();
+                self.gateway.metrics.count_store_call("read");
+                self.record_success();
                 let pauses = self.feed == Feed::Servers && part.is_end;
                 // A read that waited and brought nothing says that nothing came until its wait was
                 // over.
@@ -153,7 +156,7 @@
                 let current = part.is_end.then_some(current);
                 self.apply(current, part);
                 if pauses {
-                    self.gateway.times.drain.mul_f64(SERVERS_SHARE)
+                    self.gateway.times.drain.mul_f64(SERVERS_READ_FRACTION)
                 } else {
                     Duration::ZERO
                 }
@@ -163,8 +166,8 @@
                 Duration::ZERO
             }
             Err(error) => {
-                self.note_failure(&error);
-                RETRY_PAUSE * (self.failures.min(MAX_PAUSES) - 1)
+                self.record_failure(&error);
+                RETRY_DELAY_STEP * (self.failures.min(MAX_RETRY_STEPS) - 1)
             }
         }
     }
@@ -188,11 +191,11 @@
             .saturating_sub(part.records.len() as u64)
             .max(from.unwrap_or_default());
         for (offset, news) in (first + 1..).zip(part.records) {
-            self.apply_news(offset.min(part.next), news);
+            self.apply_record(offset.min(part.next), news);
         }
         if changed {
-            self.gateway.changed.notify_waiters();
-            self.gateway.planning.notify_one();
+            self.gateway.servers_changed.notify_waiters();
+            self.gateway.replan.notify_one();
         }
         let Some(current) = current else {
             return;
@@ -204,7 +207,7 @@
         }
     }
 
-    fn note_source(&mut self, source: &Source) {
+    fn set_source(&mut self, source: &Source) {
         if self.source != *source {
             self.source = source.clone();
             Event::new("feed_source")
@@ -215,7 +218,7 @@
     }
 
     // Applies one piece of news, after which the feed is known up to `offset`.
-    fn apply_news(&self, offset: Offset, news: FeedRecord) {
+    fn apply_record(&self, offset: Offset, news: FeedRecord) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         match news {
@@ -236,7 +239,7 @@
                 dispatcher.backends.note_entry(now, entry);
             }
             FeedRecord::Removed(id) => {
-                let keep = self.keep_time(now);
+                let keep = self.removal_grace(now);
                 Event::new("server_removed")
                     .with("server", &*id)
                     .with("kept_ms", keep.map(|keep| keep.as_millis() as u64))
@@ -256,7 +259,7 @@
     fn remove_missing(&self, part: &FeedPage) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        let keep = self.keep_time(now);
+        let keep = self.removal_grace(now);
         for id in dispatcher.backends.listed() {
             let is_listed = part
                 .records
@@ -268,13 +271,13 @@
         }
     }
 
-    fn keep_time(&self, now: Instant) -> Option<Duration> {
-        let end = self.outage_end? + RETURN_TIME;
+    fn removal_grace(&self, now: Instant) -> Option<Duration> {
+        let end = self.outage_end? + REJOIN_TIME;
         (now < end).then(|| end.saturating_duration_since(now))
     }
 
-    fn note_failure(&mut self, error: &StoreError) {
-        self.gateway.metrics.note_store_call("failed");
+    fn record_failure(&mut self, error: &StoreError) {
+        self.gateway.metrics.count_store_call("failed");
         self.failures += 1;
         if self.failing_since.is_none() {
             self.failing_since = Some(self.gateway.now());
@@ -285,7 +288,7 @@
         }
     }
 
-    fn note_success(&mut self) {
+    fn record_success(&mut self) {
         self.failures = 0;
         let Some(since) = self.failing_since.take() else {
             return;
--- a/crates/apricotwell_gateway/src/gateway.rs
+++ b/crates/apricotwell_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one instance share.
+//! State shared by all tasks of an instance.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,93 +8,94 @@
 use tokio::sync::Notify;
 
 use crate::adapter::Platform;
-use crate::asking::Questions;
 use crate::budget::Budget;
 use crate::clock::BootClock;
+use crate::feed_queries::FeedQueries;
 use crate::metrics::Metrics;
 use crate::pool::ConnectionPool;
 
-/// Connections of callers at once: of some four thousand descriptors, the rest is for servers.
+/// Limit on open client connections. The process has about 4000 file descriptors; the remaining ones
+/// are for connections to servers.
 const MAX_CONNECTIONS: usize = 2500;
-/// Bytes of bodies held at once, well below an instance's memory.
+/// Limit on the bytes of request bodies in memory, well below an instance's memory.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// Addresses on which an instance listens.
 #[derive(Clone, Debug)]
 pub struct ListenAddresses {
-    /// For callers.
+    /// Requests of clients.
     pub clients: String,
-    /// For questions whether the instance is ready.
+    /// Readiness checks.
     pub readiness: String,
-    /// For questions where to connect.
+    /// Lookups of the addresses that clients can connect to.
     pub lookup: String,
-    /// For heartbeats of other instances; names the instance.
+    /// Datagrams of other instances; also the instance's identity in the fleet.
     pub peers: String,
-    /// For metrics, if they are served.
+    /// Metrics; `None` if they are not served.
     pub metrics: Option<String>,
 }
 
-/// Times of an instance's shell.
+/// Configured durations of an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Timings {
-    /// Time between a request to stop and the end of the process.
+    /// Time between a request to stop and the exit of the process.
     pub grace: Duration,
-    /// Time within which a leaving server must get no more work.
+    /// Time after which a leaving server must not receive new requests.
     pub drain: Duration,
-    /// Lifetime of answers to look-ups.
+    /// Time for which clients may cache the response to an address lookup.
     pub lookup_ttl: Duration,
 }
 
-/// Instance with its decisions, its connections and its adapter.
+/// An instance: decision state, connections and platform adapter.
 pub struct Gateway<P>
 where
     P: Platform,
 {
-    /// Decisions.
+    /// Decision logic and its state.
     pub dispatcher: RefCell<Dispatcher>,
-    /// Clock of all decisions.
+    /// Clock for all decisions.
     pub clock: BootClock,
-    /// Connections to servers.
+    /// Connections to servers and to the store.
     pub pool: Rc<ConnectionPool>,
-    /// Store.
+    /// Client of the platform's store.
     pub store: P::Store,
-    /// Orders.
+    /// Client of the model engines.
     pub engines: P::EngineClient,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Addresses.
+    /// Addresses on which the instance listens.
     pub listeners: ListenAddresses,
-    /// Times.
+    /// Configured durations.
     pub times: Timings,
-    /// Told when a waiting request may find a server.
-    pub changed: Notify,
-    /// Told when all other instances should hear of a change.
-    pub gossip: Notify,
-    /// Told when the lease holder should hear of demand.
-    pub urging: Notify,
-    /// Told when what servers hold may have changed.
-    pub restocked: Notify,
-    /// Told when the placement should be planned anew.
-    pub planning: Notify,
-    /// Told once when the process is to stop.
-    pub stopping: Notify,
-    /// Questions to other instances.
-    pub questions: Questions,
-    /// Connections of callers.
-    pub connections: Budget,
-    /// Bytes of requests' bodies.
-    pub bodies: Budget,
-    /// Requests being served.
-    pub active: Cell<usize>,
-    /// When the request to stop came.
-    pub stopped: Cell<Option<Instant>>,
+    /// Notified when a waiting request may find a server.
+    pub servers_changed: Notify,
+    /// Notified when a change should be sent to all other instances at once.
+    pub heartbeat_due: Notify,
+    /// Notified when new demand should be sent to the lease holder at once.
+    pub demand_changed: Notify,
+    /// Notified when the models loaded on servers may have changed.
+    pub inventory_changed: Notify,
+    /// Notified when the placement should be planned again.
+    pub replan: Notify,
+    /// Notified once, when client connections should be closed for shutdown.
+    pub shutdown: Notify,
+    /// Pending feed queries to other instances.
+    pub feed_queries: FeedQueries,
+    /// Budget of client connections.
+    pub connection_budget: Budget,
+    /// Budget of request body bytes.
+    pub body_budget: Budget,
+    /// Number of requests being served.
+    pub active_requests: Cell<usize>,
+    /// Time of the request to stop; `None` before it.
+    pub stop_requested: Cell<Option<Instant>>,
 }
 
 impl<P> Gateway<P>
 where
     P: Platform,
 {
-    /// Returns an instance that knows nothing yet.
+    /// Creates an instance that has not yet read any feed.
     pub fn new(
         facts: InstanceFacts,
         listeners: ListenAddresses,
@@ -103,7 +104,7 @@
         store: P::Store,
         engines: P::EngineClient,
     ) -> Rc<Self> {
-        let questions = Questions::new(facts.incarnation);
+        let feed_queries = FeedQueries::new(facts.incarnation);
         Rc::new(Self {
             dispatcher: RefCell::new(Dispatcher::new(facts)),
             clock: BootClock::new(),
@@ -113,28 +114,28 @@
             metrics: Metrics::new(),
             listeners,
             times,
-            changed: Notify::new(),
-            gossip: Notify::new(),
-            urging: Notify::new(),
-            restocked: Notify::new(),
-            planning: Notify::new(),
-            stopping: Notify::new(),
-            questions,
-            connections: Budget::new(MAX_CONNECTIONS),
-            bodies: Budget::new(MAX_BODY_BYTES),
-            active: Cell::new(0),
-            stopped: Cell::new(None),
+            servers_changed: Notify::new(),
+            heartbeat_due: Notify::new(),
+            demand_changed: Notify::new(),
+            inventory_changed: Notify::new(),
+            replan: Notify::new(),
+            shutdown: Notify::new(),
+            feed_queries,
+            connection_budget: Budget::new(MAX_CONNECTIONS),
+            body_budget: Budget::new(MAX_BODY_BYTES),
+            active_requests: Cell::new(0),
+            stop_requested: Cell::new(None),
         })
     }
 
-    /// Returns the present instant.
+    /// Returns the current time of the decision clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
     /// Returns the time since the request to stop, `None` before it.
-    pub fn stopping_for(&self) -> Option<Duration> {
-        let stopped = self.stopped.get()?;
-        Some(self.now().saturating_duration_since(stopped))
+    pub fn time_since_stop(&self) -> Option<Duration> {
+        let stop_requested = self.stop_requested.get()?;
+        Some(self.now().saturating_duration_since(stop_requested))
     }
 }
--- a/crates/apricotwell_gateway/src/guard.rs
+++ b/crates/apricotwell_gateway/src/guard.rs
@@ -22,7 +22,9 @@
 {
     /// Counts one request.
     pub fn new(gateway: &Rc<Gateway<P>>) -> Self {
-        gateway.active.set(gateway.active.get() + 1);
+        gateway
+            .active_requests
+            .set(gateway.active_requests.get() + 1);
         Self {
             gateway: Rc::clone(gateway),
         }
@@ -34,7 +36,7 @@
     P: Platform,
 {
     fn drop(&mut self) {
-        let active = &self.gateway.active;
+        let active = &self.gateway.active_requests;
         active.set(active.get().saturating_sub(1));
     }
 }
@@ -66,7 +68,7 @@
     }
 
     /// Notes whether the server answered as it should.
-    pub fn note_outcome(&self, failed: bool) {
+    pub fn record_outcome(&self, failed: bool) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         dispatcher.backends.note_outcome(now, &self.server, failed);
@@ -81,7 +83,7 @@
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         dispatcher.backends.note_end(&self.server);
         drop(dispatcher);
-        self.gateway.changed.notify_waiters();
+        self.gateway.servers_changed.notify_waiters();
     }
 }
 
@@ -110,8 +112,8 @@
             &wanted,
             admission.silence,
         );
-        gateway.urging.notify_one();
-        gateway.planning.notify_one();
+        gateway.demand_changed.notify_one();
+        gateway.replan.notify_one();
         Some(Self {
             gateway: Rc::clone(gateway),
             service: admission.service.clone(),
--- a/crates/apricotwell_gateway/src/ticket.rs
+++ b/crates/apricotwell_gateway/src/handler.rs
@@ -9,24 +9,24 @@
 
 use crate::adapter::{Attempt, ClientProtocol, Platform};
 use crate::events::Event;
-use crate::front::HeldBody;
 use crate::gateway::Gateway;
 use crate::guard::{ActiveGuard, FlightGuard, WaitGuard};
-use crate::pool::{Answer, Reuse, SendError};
+use crate::pool::{Reuse, SendError, StreamingResponse};
+use crate::requests::HeldBody;
 
 /// Age up to which an idle connection carries a request that must not run twice.
-const FRESH_CONNECTION: Duration = Duration::from_millis(1500);
+const MAX_FRESH_IDLE: Duration = Duration::from_millis(1500);
 /// Longest wait before a waiting request looks again without being told of a change.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const SERVER_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Multiple of the target after which a plain answer that may be repeated is asked for elsewhere.
-const PLAIN_HEDGE_TARGETS: u32 = 4;
+const PLAIN_HEDGE_FACTOR: u32 = 4;
 /// Share of the grace of an instance that stops in which requests may still wait for a server.
-const WAITING_SHARE: f64 = 0.55;
+const WAIT_GRACE_FRACTION: f64 = 0.55;
 /// Servers that may turn a request away before it is given up.
 const MAX_REJECTIONS: usize = 8;
 
 /// Request that was taken, with what its attempts need.
-pub struct Ticket<P>
+pub struct RequestHandler<P>
 where
     P: Platform,
 {
@@ -41,7 +41,7 @@
     /// Decision to take it.
     pub admission: Admission,
     /// Servers that are not to be tried again.
-    pub tried: Vec<ServerId>,
+    pub excluded: Vec<ServerId>,
     /// Servers that may have run it.
     pub runs: u32,
     // Times that a server turned it away.
@@ -59,19 +59,19 @@
 }
 
 /// What came of one attempt.
-pub enum Sent<P>
+pub enum AttemptOutcome<P>
 where
     P: Platform,
 {
     /// An answer to this attempt.
-    Answer(Box<Answer>, FlightGuard<P>),
+    StreamingResponse(Box<StreamingResponse>, FlightGuard<P>),
     /// The server did not run it.
     NotRun(String),
     /// The server may have run it.
     Lost(String),
 }
 
-impl<P> Ticket<P>
+impl<P> RequestHandler<P>
 where
     P: Platform,
 {
@@ -89,7 +89,7 @@
             body,
             call,
             admission,
-            tried: Vec::new(),
+            excluded: Vec::new(),
             runs: 0,
             rejections: 0,
             found: None,
@@ -107,7 +107,7 @@
     }
 
     /// Counts the caller's patience from now on, after bytes of the answer have reached it.
-    pub fn renew_patience(&mut self) {
+    pub fn reset_wait_deadline(&mut self) {
         let patience = self.admission.route.patience();
         self.admission.silence = (self.gateway.now() + patience).min(self.admission.deadline);
     }
@@ -117,35 +117,35 @@
     /// # Errors
     ///
     /// Returns the refusal for the caller.
-    pub async fn first_answer(
+    pub async fn first_response(
         &mut self,
         last_event: Option<u64>,
-    ) -> Result<(Box<Answer>, FlightGuard<P>), Refusal> {
+    ) -> Result<(Box<StreamingResponse>, FlightGuard<P>), Refusal> {
         loop {
             let (server, address) = self.find_server().await?;
             let sent = self.send(&server, address, last_event).await;
             match sent {
-                Sent::Answer(answer, flight) => {
-                    if !self.should_repeat(&server, &answer) {
+                AttemptOutcome::StreamingResponse(answer, flight) => {
+                    if !self.should_retry(&server, &answer) {
                         return Ok((answer, flight));
                     }
-                    flight.note_outcome(true);
-                    self.tried.push(server);
+                    flight.record_outcome(true);
+                    self.excluded.push(server);
                 }
-                Sent::NotRun(reason) => {
+                AttemptOutcome::NotRun(reason) => {
                     self.log_attempt(&server, "not_run", &reason);
-                    self.after_rejection(&server, &reason)?;
+                    self.on_rejection(&server, &reason)?;
                 }
-                Sent::Lost(reason) => {
+                AttemptOutcome::Lost(reason) => {
                     self.log_attempt(&server, "lost", &reason);
-                    self.after_loss(&server, &reason)?;
+                    self.on_loss(&server, &reason)?;
                 }
             }
         }
     }
 
     /// Returns whether another attempt is allowed after one that may have run.
-    pub fn may_repeat(&self) -> bool {
+    pub fn acquire_retry(&self) -> bool {
         let route = &self.admission.route;
         let now = self.gateway.now();
         route.kind.is_repeatable()
@@ -159,30 +159,32 @@
     }
 
     // A server's failure is passed on unless another server may do better.
-    fn should_repeat(&self, server: &ServerId, answer: &Answer) -> bool {
-        answer.head.status.is_server_error() && self.has_other_server(server) && self.may_repeat()
+    fn should_retry(&self, server: &ServerId, answer: &StreamingResponse) -> bool {
+        answer.head.status.is_server_error()
+            && self.has_other_server(server)
+            && self.acquire_retry()
     }
 
     /// Leaves a server out of further attempts, unless no other one can be sent to right now.
-    pub fn leave_out(&mut self, server: &ServerId) {
+    pub fn exclude(&mut self, server: &ServerId) {
         if self.has_other_server(server) {
-            self.tried.push(server.clone());
+            self.excluded.push(server.clone());
         }
     }
 
     /// Returns whether another server could be sent to right now.
     pub fn has_other_server(&self, server: &ServerId) -> bool {
-        let mut tried = self.tried.clone();
-        tried.push(server.clone());
+        let mut excluded = self.excluded.clone();
+        excluded.push(server.clone());
         let dispatcher = self.gateway.dispatcher.borrow();
-        let choice = dispatcher.choose(self.gateway.now(), &self.admission, &self.call, &tried);
+        let choice = dispatcher.choose(self.gateway.now(), &self.admission, &self.call, &excluded);
         matches!(choice, Choice::Send(..))
     }
 
-    fn after_rejection(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
+    fn on_rejection(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
         // A server that lacked the model may have it a moment later.
         if reason == UNSENT || self.admission.wanted.is_none() {
-            self.tried.push(server.clone());
+            self.excluded.push(server.clone());
         }
         self.rejections += 1;
         let now = self.gateway.now();
@@ -194,12 +196,12 @@
             return Ok(());
         }
         let text = "the servers turned the request away; come back later";
-        Err(self.refuse(RefusalKind::Overloaded, text))
+        Err(self.refusal(RefusalKind::Overloaded, text))
     }
 
-    fn after_loss(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
-        self.leave_out(server);
-        if self.may_repeat() {
+    fn on_loss(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
+        self.exclude(server);
+        if self.acquire_retry() {
             return Ok(());
         }
         let kind = if self.remaining().is_zero() {
@@ -207,10 +209,10 @@
         } else {
             RefusalKind::BackendFailed
         };
-        Err(self.refuse(kind, reason))
+        Err(self.refusal(kind, reason))
     }
 
-    fn refuse(&self, kind: RefusalKind, text: &str) -> Refusal {
+    fn refusal(&self, kind: RefusalKind, text: &str) -> Refusal {
         if self.runs > 0 {
             let kind = match kind {
                 RefusalKind::DeadlineExceeded => kind,
@@ -224,13 +226,13 @@
     async fn find_server(&mut self) -> Result<(ServerId, std::net::SocketAddr), Refusal> {
         let mut waiting = None;
         loop {
-            let changed = self.gateway.changed.notified();
+            let changed = self.gateway.servers_changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let now = self.gateway.now();
             let choice = {
                 let dispatcher = self.gateway.dispatcher.borrow();
-                dispatcher.choose(now, &self.admission, &self.call, &self.tried)
+                dispatcher.choose(now, &self.admission, &self.call, &self.excluded)
             };
             match choice {
                 Choice::Send(server, address) => {
@@ -239,13 +241,13 @@
                 }
                 Choice::Refuse(refusal) if self.runs == 0 => return Err(refusal),
                 Choice::Refuse(refusal) => {
-                    return Err(self.refuse(refusal.kind, &refusal.message));
+                    return Err(self.refusal(refusal.kind, &refusal.message));
                 }
                 Choice::Wait => {}
             }
-            if self.must_leave() {
+            if self.must_stop_waiting() {
                 let text = "this instance stops; use another one";
-                return Err(self.refuse(RefusalKind::Unavailable, text));
+                return Err(self.refusal(RefusalKind::Unavailable, text));
             }
             if waiting.is_none() {
                 waiting = WaitGuard::new(&self.gateway, &self.admission);
@@ -253,7 +255,7 @@
             }
             let left = self.admission.silence.saturating_duration_since(now);
             // A change may not be told, so the end of the wait is looked for as well.
-            let _ = tokio::time::timeout(left.min(LOOK_INTERVAL), changed).await;
+            let _ = tokio::time::timeout(left.min(SERVER_POLL_INTERVAL), changed).await;
         }
     }
 
@@ -263,8 +265,8 @@
         server: &ServerId,
         address: std::net::SocketAddr,
         last_event: Option<u64>,
-    ) -> Sent<P> {
-        let tokens = self.note_prompt(server);
+    ) -> AttemptOutcome<P> {
+        let tokens = self.record_prompt(server);
         let flight = FlightGuard::new(&self.gateway, server.clone(), tokens);
         let attempt = Attempt {
             server,
@@ -286,15 +288,15 @@
         let reuse = if self.admission.route.kind.is_repeatable() {
             Reuse::Any
         } else {
-            Reuse::Within(FRESH_CONNECTION)
+            Reuse::Within(MAX_FRESH_IDLE)
         };
         let sending = self.gateway.pool.send(address, request, reuse);
-        let sent = tokio::time::timeout(self.patience(), sending).await;
-        self.judge(sent, flight)
+        let sent = tokio::time::timeout(self.head_timeout(), sending).await;
+        self.classify_response(sent, flight)
     }
 
     // Returns the tokens that the server has to read.
-    fn note_prompt(&self, server: &ServerId) -> f64 {
+    fn record_prompt(&self, server: &ServerId) -> f64 {
         let Some(wanted) = &self.admission.wanted else {
             return 0.0;
         };
@@ -305,46 +307,46 @@
         tokens
     }
 
-    fn judge(
+    fn classify_response(
         &mut self,
-        sent: Result<Result<Answer, SendError>, tokio::time::error::Elapsed>,
+        sent: Result<Result<StreamingResponse, SendError>, tokio::time::error::Elapsed>,
         flight: FlightGuard<P>,
-    ) -> Sent<P> {
+    ) -> AttemptOutcome<P> {
         let answer = match sent {
             Ok(Ok(answer)) => answer,
             Ok(Err(SendError::Unsent(_))) => {
-                flight.note_outcome(true);
-                return Sent::NotRun(UNSENT.to_owned());
+                flight.record_outcome(true);
+                return AttemptOutcome::NotRun(UNSENT.to_owned());
             }
             Ok(Err(SendError::Lost(reason))) => {
                 self.runs += 1;
-                flight.note_outcome(true);
-                return Sent::Lost(reason);
+                flight.record_outcome(true);
+                return AttemptOutcome::Lost(reason);
             }
             Err(_) => {
                 self.runs += 1;
-                flight.note_outcome(true);
-                return Sent::Lost("no answer in time".to_owned());
+                flight.record_outcome(true);
+                return AttemptOutcome::Lost("no answer in time".to_owned());
             }
         };
         let head = P::ClientProtocol::decode_response(&answer.head, &self.call);
         if head.misdirected {
-            self.note_denied(&flight.server);
-            return Sent::NotRun("misdirected".to_owned());
+            self.record_rejection(&flight.server);
+            return AttemptOutcome::NotRun("misdirected".to_owned());
         }
         if head.not_run {
-            self.note_denied(&flight.server);
-            return Sent::NotRun("turned away".to_owned());
+            self.record_rejection(&flight.server);
+            return AttemptOutcome::NotRun("turned away".to_owned());
         }
         self.runs += 1;
         if !head.matches_attempt || (answer.head.status.is_success() && !head.is_sealed) {
-            flight.note_outcome(true);
-            return Sent::Lost("the answer belongs to another request".to_owned());
+            flight.record_outcome(true);
+            return AttemptOutcome::Lost("the answer belongs to another request".to_owned());
         }
-        Sent::Answer(Box::new(answer), flight)
+        AttemptOutcome::StreamingResponse(Box::new(answer), flight)
     }
 
-    fn note_denied(&self, server: &ServerId) {
+    fn record_rejection(&self, server: &ServerId) {
         let Some(wanted) = &self.admission.wanted else {
             return;
         };
@@ -354,7 +356,7 @@
     }
 
     // Time for the head of an answer: shorter than the deadline where another server may do better.
-    fn patience(&self) -> Duration {
+    fn head_timeout(&self) -> Duration {
         let remaining = self.remaining();
         let route = &self.admission.route;
         if !route.kind.is_repeatable() || self.runs + 1 >= route.max_attempts {
@@ -363,7 +365,7 @@
         let hedge = if route.kind.is_stream() {
             route.target / 2
         } else {
-            route.target * PLAIN_HEDGE_TARGETS
+            route.target * PLAIN_HEDGE_FACTOR
         };
         let other = {
             let dispatcher = self.gateway.dispatcher.borrow();
@@ -373,7 +375,7 @@
                 .by_ref()
                 .filter(|server| server.serves(now, self.admission.wanted.as_ref()))
                 .count()
-                > self.tried.len() + 1
+                > self.excluded.len() + 1
         };
         if other {
             remaining.min(hedge)
@@ -383,20 +385,22 @@
     }
 
     // A request that still waits when the instance stops gets its answer while there is time.
-    fn must_leave(&self) -> bool {
-        let limit = self.gateway.times.grace.mul_f64(WAITING_SHARE);
-        self.gateway.stopping_for().is_some_and(|time| time > limit)
+    fn must_stop_waiting(&self) -> bool {
+        let limit = self.gateway.times.grace.mul_f64(WAIT_GRACE_FRACTION);
+        self.gateway
+            .time_since_stop()
+            .is_some_and(|time| time > limit)
     }
 
     fn log_wait(&self) {
         Event::new("request_waits")
             .with("request", self.call.attempt.as_str())
             .with("model", self.model_name())
-            .with_time("patience_ms", self.silence_left())
+            .with_time("patience_ms", self.wait_remaining())
             .log();
     }
 
-    fn silence_left(&self) -> Duration {
+    fn wait_remaining(&self) -> Duration {
         let now = self.gateway.now();
         self.admission.silence.saturating_duration_since(now)
     }
@@ -415,7 +419,7 @@
     pub fn log_end(&self, outcome: &str, server: Option<&ServerId>, status: u16) {
         let now = self.gateway.now();
         let time = now.saturating_duration_since(self.admission.arrived);
-        self.gateway.metrics.note_request(outcome);
+        self.gateway.metrics.count_request(outcome);
         Event::new("request_ended")
             .with("request", self.call.attempt.as_str())
             .with("route", &*self.admission.route.name)
@@ -443,7 +447,7 @@
     }
 
     /// Notes bytes of the answer.
-    pub fn note_bytes(&mut self) {
+    pub fn record_bytes(&mut self) {
         let now = self.gateway.now();
         if let Some(last) = self.last_bytes.replace(now) {
             let pause = now.saturating_duration_since(last);
@@ -452,7 +456,7 @@
         }
         self.first_byte = Some(now);
         let time = now.saturating_duration_since(self.admission.arrived);
-        self.gateway.metrics.note_first_byte(time);
+        self.gateway.metrics.observe_first_byte(time);
     }
 }
 
--- a/crates/apricotwell_gateway/src/heartbeats.rs
+++ b/crates/apricotwell_gateway/src/heartbeats.rs
@@ -14,17 +14,17 @@
 use crate::gateway::Gateway;
 
 /// Least time between heartbeats that tell of a change.
-const GOSSIP_PAUSE: Duration = Duration::from_millis(30);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(30);
 /// Part of the least time between heartbeats that each instance adds.
-const GOSSIP_PER_INSTANCE: Duration = Duration::from_millis(4);
+const MIN_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(4);
 /// Bytes of the largest datagram.
 const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 
 /// Whom a heartbeat goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Audience {
+enum Recipients {
     /// All other instances.
-    Everyone,
+    All,
     /// The holder of the placement lease.
     LeaseHolder,
     /// Nobody: only what servers hold is told.
@@ -32,50 +32,50 @@
 }
 
 /// Tells the other instances what this one does, at intervals and on changes.
-pub async fn tell<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>)
+pub async fn broadcast<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>)
 where
     P: Platform,
 {
     let mut news = StockNews::default();
-    let mut audience = Audience::Everyone;
+    let mut recipients = Recipients::All;
     let mut turn = 0;
     let mut due = tokio::time::Instant::now();
     loop {
         let instances = gateway.dispatcher.borrow().peers.possible() as u32;
-        if audience != Audience::Nobody {
-            send_heartbeat(&gateway, &socket, audience).await;
+        if recipients != Recipients::Nobody {
+            send_heartbeat(&gateway, &socket, recipients).await;
         }
-        if audience == Audience::Everyone {
+        if recipients == Recipients::All {
             // The larger the fleet, the rarer the heartbeats: each instance's share stays the same.
             due = tokio::time::Instant::now() + heartbeat_pause(instances);
         }
-        if audience != Audience::LeaseHolder {
-            tell_stock(&gateway, &socket, &mut news, turn).await;
+        if recipients != Recipients::LeaseHolder {
+            broadcast_inventory(&gateway, &socket, &mut news, turn).await;
             turn += 1;
         }
-        tokio::time::sleep(match audience {
-            Audience::Everyone | Audience::Nobody => {
-                GOSSIP_PAUSE.max(GOSSIP_PER_INSTANCE * instances)
+        tokio::time::sleep(match recipients {
+            Recipients::All | Recipients::Nobody => {
+                MIN_HEARTBEAT_INTERVAL.max(MIN_INTERVAL_PER_INSTANCE * instances)
             }
-            Audience::LeaseHolder => GOSSIP_PAUSE,
+            Recipients::LeaseHolder => MIN_HEARTBEAT_INTERVAL,
         })
         .await;
-        audience = tokio::select! {
-            () = tokio::time::sleep_until(due) => Audience::Everyone,
-            () = gateway.gossip.notified() => Audience::Everyone,
-            () = gateway.urging.notified() => Audience::LeaseHolder,
-            () = next_restock(&gateway, &news) => Audience::Nobody,
+        recipients = tokio::select! {
+            () = tokio::time::sleep_until(due) => Recipients::All,
+            () = gateway.heartbeat_due.notified() => Recipients::All,
+            () = gateway.demand_changed.notified() => Recipients::LeaseHolder,
+            () = wait_inventory_change(&gateway, &news) => Recipients::Nobody,
         };
     }
 }
 
 // Waits until servers hold something else than the others were told.
-async fn next_restock<P>(gateway: &Gateway<P>, news: &StockNews)
+async fn wait_inventory_change<P>(gateway: &Gateway<P>, news: &StockNews)
 where
     P: Platform,
 {
     loop {
-        gateway.restocked.notified().await;
+        gateway.inventory_changed.notified().await;
         let now = gateway.now();
         let dispatcher = gateway.dispatcher.borrow();
         let (planner, list) = (&dispatcher.stock, &dispatcher.backends);
@@ -86,12 +86,16 @@
 }
 
 // Tells what servers hold, if this instance holds the lease.
-async fn tell_stock<P>(gateway: &Gateway<P>, socket: &UdpSocket, news: &mut StockNews, turn: usize)
-where
+async fn broadcast_inventory<P>(
+    gateway: &Gateway<P>,
+    socket: &UdpSocket,
+    news: &mut StockNews,
+    turn: usize,
+) where
     P: Platform,
 {
     let now = gateway.now();
-    let (told, audience) = {
+    let (told, recipients) = {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
         let Some(fence) = dispatcher.lease.fence(now) else {
             return;
@@ -107,20 +111,20 @@
     if told.servers.is_empty() {
         return;
     }
-    gateway.changed.notify_waiters();
+    gateway.servers_changed.notify_waiters();
     let relayed = StockTold {
         relay: true,
         ..told.clone()
     };
-    let (told, relayed) = (encode_stock(told), encode_stock(relayed));
-    for (target, relays) in audience {
+    let (told, relayed) = (encode_inventory(told), encode_inventory(relayed));
+    for (target, relays) in recipients {
         let bytes = if relays { &relayed } else { &told };
         send(socket, bytes, &target).await;
     }
 }
 
 // Takes what the lease holder tells of servers, and passes it on within the zone if asked to.
-async fn note_stock<P>(gateway: &Gateway<P>, socket: &UdpSocket, told: StockTold)
+async fn apply_inventory<P>(gateway: &Gateway<P>, socket: &UdpSocket, told: StockTold)
 where
     P: Platform,
 {
@@ -130,8 +134,8 @@
         dispatcher.note_stock(now, &told);
         told.relay.then(|| dispatcher.zone_peers(now))
     };
-    gateway.changed.notify_waiters();
-    let bytes = encode_stock(StockTold {
+    gateway.servers_changed.notify_waiters();
+    let bytes = encode_inventory(StockTold {
         relay: false,
         ..told
     });
@@ -140,7 +144,7 @@
     }
 }
 
-fn encode_stock(stock: StockTold) -> Vec<u8> {
+fn encode_inventory(stock: StockTold) -> Vec<u8> {
     let datagram = Datagram {
         stock: Some(stock),
         ..Datagram::default()
@@ -155,7 +159,7 @@
     }
 }
 
-async fn send_heartbeat<P>(gateway: &Gateway<P>, socket: &UdpSocket, audience: Audience)
+async fn send_heartbeat<P>(gateway: &Gateway<P>, socket: &UdpSocket, recipients: Recipients)
 where
     P: Platform,
 {
@@ -164,7 +168,7 @@
         let mut dispatcher = gateway.dispatcher.borrow_mut();
         dispatcher.expire(now);
         let heartbeat = dispatcher.heartbeat(now);
-        if audience == Audience::Everyone {
+        if recipients == Recipients::All {
             dispatcher.note_told(now);
         }
         let demand = dispatcher.demand.uses(now);
@@ -178,7 +182,7 @@
     let (plain, urgent) = (encode(heartbeat), encode(with_demand));
     for target in targets {
         let is_holder = holder.as_ref().is_none_or(|holder| *holder == target);
-        if audience == Audience::LeaseHolder && !is_holder {
+        if recipients == Recipients::LeaseHolder && !is_holder {
             continue;
         }
         let bytes = if is_holder { &urgent } else { &plain };
@@ -195,14 +199,14 @@
 }
 
 /// Takes the heartbeats, questions and answers of other instances.
-pub async fn listen<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>)
+pub async fn receive<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>)
 where
     P: Platform,
 {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
-            tokio::time::sleep(GOSSIP_PAUSE).await;
+            tokio::time::sleep(MIN_HEARTBEAT_INTERVAL).await;
             continue;
         };
         let Ok(datagram) = Datagram::decode(&buffer[..length]) else {
@@ -210,10 +214,10 @@
             continue;
         };
         if let Some(heartbeat) = datagram.heartbeat {
-            note_heartbeat(&gateway, &heartbeat);
+            apply_heartbeat(&gateway, &heartbeat);
         }
         if let Some(stock) = datagram.stock {
-            note_stock(&gateway, &socket, stock).await;
+            apply_inventory(&gateway, &socket, stock).await;
         }
         if let Some(query) = datagram.query {
             let now = gateway.now();
@@ -228,12 +232,12 @@
             }
         }
         if let Some(answer) = datagram.answer {
-            gateway.questions.note_answer(answer);
+            gateway.feed_queries.deliver(answer);
         }
     }
 }
 
-fn note_heartbeat<P>(gateway: &Gateway<P>, heartbeat: &Heartbeat)
+fn apply_heartbeat<P>(gateway: &Gateway<P>, heartbeat: &Heartbeat)
 where
     P: Platform,
 {
@@ -246,6 +250,6 @@
         return;
     }
     if heartbeat.models.iter().any(|usage| usage.waiting > 0) {
-        gateway.planning.notify_one();
+        gateway.replan.notify_one();
     }
 }
--- a/crates/apricotwell_gateway/src/lib.rs
+++ b/crates/apricotwell_gateway/src/lib.rs
@@ -1,32 +1,32 @@
-//! Sockets and timers round the decisions of `apricotwell_dispatch`.
+//! Network I/O, timers and background tasks around the decision logic of `apricotwell_dispatch`.
 //!
-//! One process is one instance of the fleet. All of its tasks share a [`gateway::Gateway`] on one
-//! thread. What the platform's names and formats are stands in an adapter, see [`adapter`]; this
-//! crate works with any.
+//! Each process is one instance of the fleet. All of its tasks run on one thread and share a
+//! [`gateway::Gateway`]. The crate is independent of the platform: an adapter translates the
+//! platform's names and formats, see [`adapter`].
 //!
-//! The connections of callers and servers are `hyper`'s, since both ends have to be watched while a
-//! request waits; `docs/design/platform.md` gives the measurement against `actix-web` and `awc`.
+//! Connections to clients and servers use `hyper` directly, since both ends must be monitored while
+//! a request waits; `docs/design/platform.md` has the measurements against `actix-web` and `awc`.
 
 pub mod adapter;
-pub mod asking;
 pub mod budget;
 pub mod clock;
 pub mod daemon;
 pub mod events;
+pub mod feed_queries;
 pub mod feeds;
-pub mod fleet;
-pub mod front;
 pub mod gateway;
 pub mod guard;
+pub mod handler;
 pub mod heartbeats;
+pub mod membership;
 pub mod metrics;
-pub mod placing;
+pub mod placement;
 pub mod pool;
 pub mod relay;
-pub mod spending;
-pub mod ticket;
+pub mod requests;
+pub mod usage;
 
-/// What nearly every user of the crate needs.
+/// Re-exports of the most commonly used types and traits.
 pub mod prelude {
     pub use crate::adapter::{
         Attempt, ClaimRecord, ClientProtocol, EngineClient, FeedPage, FeedRecord, LastClaim,
--- a/crates/apricotwell_gateway/src/fleet.rs
+++ b/crates/apricotwell_gateway/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership of the store's group and the placement lease.
+//! Membership in the fleet's group at the store, and the placement lease.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,17 +10,18 @@
 use crate::events::Event;
 use crate::gateway::Gateway;
 
-/// Pause between renewals of the membership.
-pub const RENEWAL_PAUSE: Duration = Duration::from_millis(500);
-/// Least pause between two lists of the members.
-const LIST_PAUSE: Duration = Duration::from_millis(3000);
-/// Part of that pause that each instance of the fleet adds.
-const LIST_PAUSE_PER_INSTANCE: Duration = Duration::from_millis(60);
-/// Attempts to claim the lease before the next renewal.
-const CLAIM_ATTEMPTS: u32 = 3;
+/// Interval between renewals of the membership.
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum interval between two reads of the member list.
+const MIN_LIST_INTERVAL: Duration = Duration::from_millis(3000);
+/// Minimum interval between two reads of the member list, per instance of the fleet. The longer of
+/// the two minimums applies.
+const LIST_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(60);
+/// Attempts to claim the lease between two renewals.
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
 
-/// Renews the membership and claims the placement lease when it is free.
-pub async fn renew_membership<P>(gateway: Rc<Gateway<P>>)
+/// Renews the membership periodically and claims the placement lease when it is free.
+pub async fn run<P>(gateway: Rc<Gateway<P>>)
 where
     P: Platform,
 {
@@ -36,10 +37,10 @@
     };
     while renewer.may_renew() {
         if let Err(error) = renewer.renew().await {
-            renewer.gateway.metrics.note_store_call("failed");
-            log::info!("membership not renewed: {error}");
+            renewer.gateway.metrics.count_store_call("failed");
+            log::info!("failed to renew the membership: {error}");
         }
-        tokio::time::sleep(RENEWAL_PAUSE).await;
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
     }
 }
 
@@ -50,13 +51,13 @@
     gateway: Rc<Gateway<P>>,
     member: String,
     term: Duration,
-    // Generation of the group in the last answer.
+    // Generation of the group in the last response.
     generation: u64,
-    // Generation of which the members are known.
+    // Generation whose members were last listed.
     listed: Option<u64>,
-    // When they were listed.
+    // Time of the last read of the member list.
     listed_at: Option<Instant>,
-    // Generation in which the lease was looked at.
+    // Generation in which the lease was last checked.
     checked: Option<u64>,
 }
 
@@ -64,11 +65,12 @@
 where
     P: Platform,
 {
-    // An instance that stops stays in the group only for the lease: it orders to its end, and the
-    // process that follows it on this machine takes the lease back without a pause.
+    // A stopping instance stays in the group only while it holds the lease. It keeps sending orders
+    // until it exits, and the next process on this machine can take the lease over without a pause.
     fn may_renew(&self) -> bool {
         let now = self.gateway.now();
-        self.gateway.stopped.get().is_none() || self.gateway.dispatcher.borrow().lease.is_held(now)
+        self.gateway.stop_requested.get().is_none()
+            || self.gateway.dispatcher.borrow().lease.is_held(now)
     }
 
     async fn renew(&mut self) -> Result<(), StoreError> {
@@ -79,10 +81,10 @@
             .store
             .join(&self.member, self.generation, self.term)
             .await?;
-        gateway.metrics.note_store_call("join");
+        gateway.metrics.count_store_call("join");
         self.generation = joined.generation;
         let now = gateway.now();
-        // A free lease falls to one member only: the others need not look.
+        // Only the candidate may claim a free lease, so the other members need not check it.
         let changed = self.checked.is_none()
             || (joined.is_candidate && self.checked != Some(joined.generation));
         let step = {
@@ -102,16 +104,17 @@
         Ok(())
     }
 
-    // Members announce themselves by heartbeats; the list only makes good what was lost.
+    // Members announce themselves by heartbeats; the list only recovers lost ones.
     fn may_list(&self, now: Instant) -> bool {
         let members = self.gateway.dispatcher.borrow().peers.possible() as u32;
-        let pause = LIST_PAUSE.max(LIST_PAUSE_PER_INSTANCE * members);
+        let interval = MIN_LIST_INTERVAL.max(LIST_INTERVAL_PER_INSTANCE * members);
         self.listed_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= pause)
+            .is_none_or(|at| now.saturating_duration_since(at) >= interval)
     }
 
-    async fn check(&self, candidate: bool) -> Result<(), StoreError> {
-        for _ in 0..CLAIM_ATTEMPTS {
+    // Checks who holds the lease, and claims it if it is free and this member is the candidate.
+    async fn check(&self, is_candidate: bool) -> Result<(), StoreError> {
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
             let last = self.gateway.store.last_claim().await?;
             let standing = match &last.claim {
                 Some(claim) if claim.holder != self.member => {
@@ -124,17 +127,17 @@
                 }
                 Some(_) => Standing::Own,
                 None if last.end == 0 => Standing::Unclaimed,
-                // The record has expired: its writer may be any member.
+                // The record has expired, so any member may have written it.
                 None => Standing::Dropped,
             };
             let step = {
                 let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-                dispatcher.lease.note_standing(standing, candidate)
+                dispatcher.lease.note_standing(standing, is_candidate)
             };
             match step {
                 LeaseStep::Claim => match self.claim(last.end, standing).await {
                     Err(StoreError::Conflict) => {}
-                    done => return done,
+                    result => return result,
                 },
                 LeaseStep::Stop => {
                     Event::new("lease_lost").log();
@@ -168,7 +171,7 @@
     P: Platform,
 {
     let members = gateway.store.members().await?;
-    gateway.metrics.note_store_call("members");
+    gateway.metrics.count_store_call("members");
     Event::new("members").with("members", members.clone()).log();
     let now = gateway.now();
     let own = gateway.listeners.peers.as_str();
@@ -191,6 +194,6 @@
         return;
     }
     if let Err(error) = gateway.store.leave(&gateway.listeners.peers).await {
-        log::info!("group not left: {error}");
+        log::info!("failed to leave the group: {error}");
     }
 }
--- a/crates/apricotwell_gateway/src/metrics.rs
+++ b/crates/apricotwell_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms.
+//! Prometheus metrics of an instance.
 
 use std::time::Duration;
 
@@ -9,46 +9,46 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Bounds of latency buckets, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BOUNDS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0];
 
-/// Labels of a request's end.
+/// Labels of the counters.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub struct EndLabels {
-    /// How the request ended.
+pub struct OutcomeLabels {
+    /// Outcome of a request, or kind of a store call or order.
     pub outcome: String,
 }
 
 /// Metrics of one instance.
 pub struct Metrics {
     registry: Registry,
-    requests: Family<EndLabels, Counter>,
+    requests: Family<OutcomeLabels, Counter>,
     first_byte: Histogram,
-    store_calls: Family<EndLabels, Counter>,
-    orders: Family<EndLabels, Counter>,
+    store_calls: Family<OutcomeLabels, Counter>,
+    orders: Family<OutcomeLabels, Counter>,
     dropped_lines: Counter,
 }
 
 impl Metrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("apricotwell");
         let requests = Family::default();
-        registry.register("requests", "Requests by their end", requests.clone());
+        registry.register("requests", "Requests by outcome", requests.clone());
         let first_byte = Histogram::new(LATENCY_BOUNDS);
         registry.register(
             "first_byte_seconds",
-            "Time to the first byte of an answer",
+            "Time to the first byte of a response",
             first_byte.clone(),
         );
         let store_calls = Family::default();
-        registry.register("store_calls", "Calls to the store", store_calls.clone());
+        registry.register("store_calls", "Store calls by kind", store_calls.clone());
         let orders = Family::default();
-        registry.register("orders", "Orders to servers by answer", orders.clone());
+        registry.register("orders", "Orders to servers by operation", orders.clone());
         let dropped_lines = Counter::default();
         registry.register(
             "dropped_log_lines",
-            "Log lines over the budget",
+            "Log lines dropped because the buffer was full",
             dropped_lines.clone(),
         );
         Self {
@@ -61,47 +61,47 @@
         }
     }
 
-    /// Counts the end of a request.
-    pub fn note_request(&self, outcome: &str) {
+    /// Counts a finished request by outcome.
+    pub fn count_request(&self, outcome: &str) {
         count(&self.requests, outcome);
     }
 
-    /// Counts the time to an answer's first byte.
-    pub fn note_first_byte(&self, time: Duration) {
+    /// Records the time to the first byte of a response.
+    pub fn observe_first_byte(&self, time: Duration) {
         self.first_byte.observe(time.as_secs_f64());
     }
 
-    /// Counts a call to the store.
-    pub fn note_store_call(&self, outcome: &str) {
+    /// Counts a store call by kind.
+    pub fn count_store_call(&self, outcome: &str) {
         count(&self.store_calls, outcome);
     }
 
-    /// Returns the calls to the store so far, by kind.
+    /// Returns the total number of store calls of each kind.
     pub fn store_calls(&self) -> [(&'static str, u64); 6] {
         ["read", "join", "members", "keep", "kept", "failed"].map(|kind| {
-            let labels = EndLabels {
+            let labels = OutcomeLabels {
                 outcome: kind.to_owned(),
             };
             (kind, self.store_calls.get_or_create(&labels).get())
         })
     }
 
-    /// Counts an order.
-    pub fn note_order(&self, outcome: &str) {
+    /// Counts an order by operation.
+    pub fn count_order(&self, outcome: &str) {
         count(&self.orders, outcome);
     }
 
-    /// Sets the number of log lines dropped so far.
-    pub fn note_dropped_lines(&self, total: u64) {
+    /// Raises the counter of dropped log lines to `total`.
+    pub fn set_dropped_lines(&self, total: u64) {
         let known = self.dropped_lines.get();
         self.dropped_lines.inc_by(total.saturating_sub(known));
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Fails when the text can't be written.
+    /// Fails if the metrics can't be encoded.
     pub fn to_text(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
@@ -115,8 +115,8 @@
     }
 }
 
-fn count(family: &Family<EndLabels, Counter>, outcome: &str) {
-    let labels = EndLabels {
+fn count(family: &Family<OutcomeLabels, Counter>, outcome: &str) {
+    let labels = OutcomeLabels {
         outcome: outcome.to_owned(),
     };
     family.get_or_create(&labels).inc();
--- a/crates/apricotwell_gateway/src/placing.rs
+++ b/crates/apricotwell_gateway/src/placement.rs
@@ -12,31 +12,31 @@
 use crate::gateway::Gateway;
 
 /// Pause between plans when nothing changes.
-const PLAN_PAUSE: Duration = Duration::from_millis(200);
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(200);
 /// Least pause between plans.
-const LEAST_PAUSE: Duration = Duration::from_millis(25);
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Plans and orders while this instance holds the lease.
-pub async fn place<P>(gateway: Rc<Gateway<P>>)
+pub async fn run<P>(gateway: Rc<Gateway<P>>)
 where
     P: Platform,
 {
     let mut announced = None;
     loop {
-        announce(&gateway, &mut announced);
-        step(&gateway);
-        tokio::time::sleep(LEAST_PAUSE).await;
+        announce_fence(&gateway, &mut announced);
+        plan_once(&gateway);
+        tokio::time::sleep(MIN_PLAN_INTERVAL).await;
         let due = gateway.dispatcher.borrow().stock.next_due(gateway.now());
-        let pause = due.map_or(PLAN_PAUSE, |due| due.min(PLAN_PAUSE));
+        let pause = due.map_or(MAX_PLAN_INTERVAL, |due| due.min(MAX_PLAN_INTERVAL));
         // Without a change the plan is looked at again after the pause.
-        let _ = tokio::time::timeout(pause, gateway.planning.notified()).await;
+        let _ = tokio::time::timeout(pause, gateway.replan.notified()).await;
         // What becomes due may change what servers hold.
-        gateway.restocked.notify_one();
+        gateway.inventory_changed.notify_one();
     }
 }
 
 // Lets a previous holder of the lease that lives on hear at once that it must stop.
-fn announce<P>(gateway: &Gateway<P>, announced: &mut Option<Fence>)
+fn announce_fence<P>(gateway: &Gateway<P>, announced: &mut Option<Fence>)
 where
     P: Platform,
 {
@@ -46,12 +46,12 @@
         .lease
         .announced_fence(gateway.now());
     if fence.is_some() && fence != *announced {
-        gateway.gossip.notify_one();
+        gateway.heartbeat_due.notify_one();
     }
     *announced = fence;
 }
 
-fn step<P>(gateway: &Rc<Gateway<P>>)
+fn plan_once<P>(gateway: &Rc<Gateway<P>>)
 where
     P: Platform,
 {
@@ -65,14 +65,14 @@
     let (orders, reports) = dispatcher.plan(now);
     drop(dispatcher);
     for server in reports {
-        actix::spawn(report(Rc::clone(gateway), server));
+        actix::spawn(fetch_report(Rc::clone(gateway), server));
     }
     for order in orders {
-        actix::spawn(give(Rc::clone(gateway), order, fence));
+        actix::spawn(send_order(Rc::clone(gateway), order, fence));
     }
 }
 
-async fn report<P>(gateway: Rc<Gateway<P>>, server: ServerId)
+async fn fetch_report<P>(gateway: Rc<Gateway<P>>, server: ServerId)
 where
     P: Platform,
 {
@@ -93,11 +93,11 @@
         .borrow_mut()
         .stock
         .note_report(now, &server, report);
-    gateway.planning.notify_one();
-    gateway.restocked.notify_one();
+    gateway.replan.notify_one();
+    gateway.inventory_changed.notify_one();
 }
 
-async fn give<P>(gateway: Rc<Gateway<P>>, order: Order, fence: Fence)
+async fn send_order<P>(gateway: Rc<Gateway<P>>, order: Order, fence: Fence)
 where
     P: Platform,
 {
@@ -126,7 +126,7 @@
         .with("reason", order.reason)
         .with("reply", format!("{reply:?}"))
         .log();
-    gateway.metrics.note_order(order.operation.name());
+    gateway.metrics.count_order(order.operation.name());
     {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
         if reply == OrderReply::Fenced {
@@ -134,6 +134,6 @@
         }
         dispatcher.stock.note_reply(now, &order.server, reply);
     }
-    gateway.planning.notify_one();
-    gateway.restocked.notify_one();
+    gateway.replan.notify_one();
+    gateway.inventory_changed.notify_one();
 }
--- a/crates/apricotwell_gateway/src/pool.rs
+++ b/crates/apricotwell_gateway/src/pool.rs
@@ -19,7 +19,7 @@
 /// Time in which a connection must come about.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time after which bytes that the other end has not acknowledged end a connection.
-const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1800);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1800);
 /// Silence after which the other end is asked whether it is still there.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(2);
 /// Pause between such questions.
@@ -65,7 +65,7 @@
 
 impl std::error::Error for SendError {}
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     since: Instant,
     until: Instant,
@@ -74,7 +74,7 @@
 /// Pool of connections that are not in use.
 #[derive(Default)]
 pub struct ConnectionPool {
-    idle: RefCell<Map<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<Map<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
@@ -93,7 +93,7 @@
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         reuse: Reuse,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<StreamingResponse, SendError> {
         let mut request = request;
         while let Some(mut sender) = self.take(address, reuse) {
             match sender.try_send_request(request).await {
@@ -155,7 +155,7 @@
         let mut connections = self.idle.borrow_mut();
         let stack = connections.entry(address).or_default();
         if stack.len() < MAX_IDLE_CONNECTIONS {
-            stack.push(Idle {
+            stack.push(IdleConnection {
                 sender,
                 since: now,
                 until: now + keep,
@@ -168,10 +168,10 @@
         address: SocketAddr,
         sender: SendRequest<Full<Bytes>>,
         answer: http::Response<Incoming>,
-    ) -> Answer {
+    ) -> StreamingResponse {
         let (head, body) = answer.into_parts();
-        let keep = idle_time(&head.headers);
-        Answer {
+        let keep = keep_alive_time(&head.headers);
+        StreamingResponse {
             head,
             body,
             connection: keep.map(|keep| Connection {
@@ -192,7 +192,7 @@
 }
 
 /// Answer whose body is still to come; dropping it before its end closes the connection.
-pub struct Answer {
+pub struct StreamingResponse {
     /// Head.
     pub head: response::Parts,
     body: Incoming,
@@ -200,7 +200,7 @@
     connection: Option<Connection>,
 }
 
-impl Answer {
+impl StreamingResponse {
     /// Returns the next bytes of the body, `None` at its end.
     ///
     /// # Errors
@@ -264,7 +264,7 @@
         .await
         .map_err(|_| SendError::Unsent("no connection in time".to_owned()))?
         .map_err(unsent)?;
-    watch(&stream).map_err(unsent)?;
+    configure_socket(&stream).map_err(unsent)?;
     let (sender, connection) = http1::Builder::new()
         .max_buf_size(READ_BUFFER_BYTES)
         .handshake(TokioIo::new(stream))
@@ -290,7 +290,7 @@
 /// # Errors
 ///
 /// Fails when the socket takes no such options.
-pub fn watch(stream: &TcpStream) -> std::io::Result<()> {
+pub fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -298,11 +298,11 @@
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
 
 // How long a connection may be kept after this answer, `None` if it must not be.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_time(headers: &HeaderMap) -> Option<Duration> {
     let closes = headers
         .get_all(http::header::CONNECTION)
         .iter()
--- a/crates/apricotwell_gateway/src/relay.rs
+++ b/crates/apricotwell_gateway/src/relay.rs
@@ -9,11 +9,11 @@
 
 use crate::adapter::Platform;
 use crate::guard::FlightGuard;
-use crate::pool::Answer;
-use crate::ticket::Ticket;
+use crate::handler::RequestHandler;
+use crate::pool::StreamingResponse;
 
 /// Silence after which a stream that can go on elsewhere is taken from its server.
-const STALL: Duration = Duration::from_millis(1500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Why a stream broke off.
 #[derive(Debug)]
@@ -40,8 +40,8 @@
 where
     P: Platform,
 {
-    ticket: Ticket<P>,
-    answer: Option<(Box<Answer>, FlightGuard<P>)>,
+    handler: RequestHandler<P>,
+    answer: Option<(Box<StreamingResponse>, FlightGuard<P>)>,
     // Bytes of an event that is not whole yet; kept only where the stream can be resumed.
     partial: BytesMut,
     last_event: Option<u64>,
@@ -54,11 +54,15 @@
     P: Platform,
 {
     /// Returns the relay of an answer whose head has come.
-    pub fn new(ticket: Ticket<P>, answer: Box<Answer>, flight: FlightGuard<P>) -> Self {
+    pub fn new(
+        handler: RequestHandler<P>,
+        answer: Box<StreamingResponse>,
+        flight: FlightGuard<P>,
+    ) -> Self {
         Self {
-            last_event: ticket.call.last_event,
+            last_event: handler.call.last_event,
             status: answer.head.status.as_u16(),
-            ticket,
+            handler,
             answer: Some((answer, flight)),
             partial: BytesMut::new(),
             ended: false,
@@ -79,18 +83,22 @@
         }
         loop {
             let (answer, flight) = self.answer.as_mut()?;
-            let limit = self.ticket.remaining();
-            let resumable = self.ticket.admission.route.kind.is_repeatable();
-            let wait = if resumable { limit.min(STALL) } else { limit };
+            let limit = self.handler.remaining();
+            let resumable = self.handler.admission.route.kind.is_repeatable();
+            let wait = if resumable {
+                limit.min(STALL_TIMEOUT)
+            } else {
+                limit
+            };
             let reason = match tokio::time::timeout(wait, answer.next()).await {
                 Err(_) if limit <= wait => return self.fail(RelayError::Deadline),
                 // Silence alone is no reason to give up the only server that can go on.
-                Err(_) if !self.ticket.has_other_server(&flight.server) => continue,
+                Err(_) if !self.handler.has_other_server(&flight.server) => continue,
                 Err(_) => "no event in time".to_owned(),
                 Ok(Some(Err(error))) => error.to_string(),
                 Ok(Some(Ok(bytes))) => match self.take_whole(bytes, resumable) {
                     Some(whole) => {
-                        self.ticket.note_bytes();
+                        self.handler.record_bytes();
                         return Some(Ok(whole));
                     }
                     None => continue,
@@ -121,19 +129,19 @@
             return false;
         };
         drop(answer);
-        flight.note_outcome(true);
+        flight.record_outcome(true);
         self.partial.clear();
-        self.ticket.leave_out(&flight.server);
+        self.handler.exclude(&flight.server);
         drop(flight);
-        if !self.ticket.may_repeat() {
+        if !self.handler.acquire_retry() {
             return false;
         }
-        self.ticket.renew_patience();
-        let resumed = self.ticket.first_answer(self.last_event).await;
+        self.handler.reset_wait_deadline();
+        let resumed = self.handler.first_response(self.last_event).await;
         match resumed {
             Ok((answer, flight)) if answer.head.status.as_u16() == self.status => {
                 crate::events::Event::new("stream_resumed")
-                    .with("request", self.ticket.call.attempt.as_str())
+                    .with("request", self.handler.call.attempt.as_str())
                     .with("server", &*flight.server)
                     .with("after_event", self.last_event)
                     .with("reason", reason)
@@ -145,7 +153,7 @@
             Err(refusal) => {
                 log::info!(
                     "stream {} not resumed: {}",
-                    self.ticket.call.attempt,
+                    self.handler.call.attempt,
                     refusal.message
                 );
                 false
@@ -156,8 +164,8 @@
     fn finish(&mut self) -> Option<Result<Bytes, RelayError>> {
         self.ended = true;
         let (_, flight) = self.answer.take()?;
-        flight.note_outcome(self.status >= 500);
-        self.ticket
+        flight.record_outcome(self.status >= 500);
+        self.handler
             .log_end("answered", Some(&flight.server), self.status);
         None
     }
@@ -166,10 +174,10 @@
         self.ended = true;
         let flight = self.answer.take().map(|(_, flight)| flight);
         if let Some(flight) = &flight {
-            flight.note_outcome(true);
+            flight.record_outcome(true);
         }
         let server = flight.as_ref().map(|flight| &flight.server);
-        self.ticket.log_end("broken_off", server, self.status);
+        self.handler.log_end("broken_off", server, self.status);
         Some(Err(error))
     }
 }
--- a/crates/apricotwell_gateway/src/front.rs
+++ b/crates/apricotwell_gateway/src/requests.rs
@@ -13,27 +13,27 @@
 use hyper::body::{Frame, Incoming};
 
 use crate::adapter::{ClientProtocol, Platform};
-use crate::budget::{Budget, Share};
+use crate::budget::{Budget, Reservation};
 use crate::events::Event;
 use crate::gateway::Gateway;
 use crate::guard::FlightGuard;
-use crate::pool::Answer;
+use crate::handler::RequestHandler;
+use crate::pool::StreamingResponse;
 use crate::relay::{Relay, RelayError};
-use crate::ticket::Ticket;
 
 /// Bytes of a plain answer that are held in memory.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Time in which a request's body must come, unless its deadline is shorter.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time after a request to stop from which further requests are sent elsewhere: none that is taken
 /// later could be sure to end within the grace.
-const TAKING_AFTER_STOP: Duration = Duration::from_millis(3500);
+const ADMISSION_AFTER_STOP: Duration = Duration::from_millis(3500);
 
-enum Served<P>
+enum ClientResponse<P>
 where
     P: Platform,
 {
-    Whole(Response<Bytes>),
+    Complete(Response<Bytes>),
     Stream(Response<()>, Box<Relay<P>>),
 }
 
@@ -52,14 +52,14 @@
 where
     P: Platform,
 {
-    let closing = gateway.stopped.get().is_some();
+    let closing = gateway.stop_requested.get().is_some();
     let mut response = match answer(&gateway, request).await {
-        Served::Whole(response) => response.map(|body| Either::Left(Full::new(body))),
-        Served::Stream(response, relay) => {
+        ClientResponse::Complete(response) => response.map(|body| Either::Left(Full::new(body))),
+        ClientResponse::Stream(response, relay) => {
             response.map(|()| Either::Right(StreamBody::new(relay.into_frames())))
         }
     };
-    if closing || gateway.stopped.get().is_some() {
+    if closing || gateway.stop_requested.get().is_some() {
         let close = http::HeaderValue::from_static("close");
         response
             .headers_mut()
@@ -68,14 +68,14 @@
     Ok(response)
 }
 
-async fn answer<P>(gateway: &Rc<Gateway<P>>, request: Request<Incoming>) -> Served<P>
+async fn answer<P>(gateway: &Rc<Gateway<P>>, request: Request<Incoming>) -> ClientResponse<P>
 where
     P: Platform,
 {
     let (head, body) = request.into_parts();
     match take(gateway, head, body).await {
-        Ok(ticket) => run(ticket).await,
-        Err(refusal) => Served::Whole(P::ClientProtocol::encode_refusal(&refusal)),
+        Ok(handler) => run(handler).await,
+        Err(refusal) => ClientResponse::Complete(P::ClientProtocol::encode_refusal(&refusal)),
     }
 }
 
@@ -83,7 +83,7 @@
     gateway: &Rc<Gateway<P>>,
     head: request::Parts,
     body: Incoming,
-) -> Result<Ticket<P>, Refusal>
+) -> Result<RequestHandler<P>, Refusal>
 where
     P: Platform,
 {
@@ -93,7 +93,7 @@
         log_refusal(gateway, &call, refusal);
     }
     let (body, admission) = taken?;
-    Ok(Ticket::new(gateway, head, body, call, admission))
+    Ok(RequestHandler::new(gateway, head, body, call, admission))
 }
 
 async fn admit<P>(
@@ -106,8 +106,8 @@
     P: Platform,
 {
     if gateway
-        .stopping_for()
-        .is_some_and(|time| time > TAKING_AFTER_STOP)
+        .time_since_stop()
+        .is_some_and(|time| time > ADMISSION_AFTER_STOP)
     {
         let text = "this instance stops; use another one";
         return Err(
@@ -115,12 +115,12 @@
         );
     }
     let limit = body_limit(gateway);
-    let body = read_body(head, body, limit, &gateway.bodies, call.deadline).await?;
+    let body = read_body(head, body, limit, &gateway.body_budget, call.deadline).await?;
     let now = gateway.now();
     let mut dispatcher = gateway.dispatcher.borrow_mut();
     let admission = dispatcher.admit(now, call)?;
     if dispatcher.is_tight(now, &admission) {
-        gateway.gossip.notify_one();
+        gateway.heartbeat_due.notify_one();
     }
     Ok((body, admission))
 }
@@ -140,7 +140,7 @@
 pub struct HeldBody {
     /// Body.
     pub bytes: Bytes,
-    _share: Share,
+    _share: Reservation,
 }
 
 async fn read_body(
@@ -166,7 +166,7 @@
 }
 
 async fn collect(mut body: Incoming, limit: usize, budget: &Budget) -> Result<HeldBody, Refusal> {
-    let Some(mut share) = budget.take(0) else {
+    let Some(mut share) = budget.try_reserve(0) else {
         return Err(too_many_bytes());
     };
     let mut whole = Vec::new();
@@ -202,28 +202,32 @@
     Refusal::not_run(RefusalKind::Overloaded, text).with_retry_after(Duration::from_millis(500))
 }
 
-async fn run<P>(mut ticket: Ticket<P>) -> Served<P>
+async fn run<P>(mut handler: RequestHandler<P>) -> ClientResponse<P>
 where
     P: Platform,
 {
-    let last_event = ticket.call.last_event;
+    let last_event = handler.call.last_event;
     loop {
-        let (answer, flight) = match ticket.first_answer(last_event).await {
+        let (answer, flight) = match handler.first_response(last_event).await {
             Ok(found) => found,
-            Err(refusal) => return refused(&ticket, &refusal),
+            Err(refusal) => return refused(&handler, &refusal),
         };
-        if ticket.admission.route.kind.is_stream() && answer.head.status.is_success() {
-            return stream(ticket, answer, flight);
+        if handler.admission.route.kind.is_stream() && answer.head.status.is_success() {
+            return stream(handler, answer, flight);
         }
-        match whole(&mut ticket, answer, flight).await {
-            Ok(response) => return Served::Whole(response),
-            Err(Some(refusal)) => return refused(&ticket, &refusal),
+        match complete_response(&mut handler, answer, flight).await {
+            Ok(response) => return ClientResponse::Complete(response),
+            Err(Some(refusal)) => return refused(&handler, &refusal),
             Err(None) => {}
         }
     }
 }
 
-fn stream<P>(ticket: Ticket<P>, answer: Box<Answer>, flight: FlightGuard<P>) -> Served<P>
+fn stream<P>(
+    handler: RequestHandler<P>,
+    answer: Box<StreamingResponse>,
+    flight: FlightGuard<P>,
+) -> ClientResponse<P>
 where
     P: Platform,
 {
@@ -231,26 +235,26 @@
     *response.status_mut() = answer.head.status;
     *response.headers_mut() = P::ClientProtocol::relay_headers(&answer.head.headers);
     response.headers_mut().remove(http::header::CONTENT_LENGTH);
-    Served::Stream(response, Box::new(Relay::new(ticket, answer, flight)))
+    ClientResponse::Stream(response, Box::new(Relay::new(handler, answer, flight)))
 }
 
 // Returns the whole answer, a refusal, or nothing when another attempt is allowed.
-async fn whole<P>(
-    ticket: &mut Ticket<P>,
-    answer: Box<Answer>,
+async fn complete_response<P>(
+    handler: &mut RequestHandler<P>,
+    answer: Box<StreamingResponse>,
     flight: FlightGuard<P>,
 ) -> Result<Response<Bytes>, Option<Refusal>>
 where
     P: Platform,
 {
-    let collected = tokio::time::timeout(ticket.remaining(), answer.collect(MAX_ANSWER_BYTES));
+    let collected = tokio::time::timeout(handler.remaining(), answer.collect(MAX_RESPONSE_BYTES));
     let reason = match collected.await {
         Ok(Ok((head, body))) => {
             let failed = head.status.is_server_error();
-            flight.note_outcome(failed);
-            ticket.note_bytes();
+            flight.record_outcome(failed);
+            handler.record_bytes();
             let outcome = if failed { "server_failed" } else { "answered" };
-            ticket.log_end(outcome, Some(&flight.server), head.status.as_u16());
+            handler.log_end(outcome, Some(&flight.server), head.status.as_u16());
             let mut response = Response::new(body);
             *response.status_mut() = head.status;
             *response.headers_mut() = P::ClientProtocol::relay_headers(&head.headers);
@@ -260,13 +264,13 @@
         Ok(Err(reason)) => reason,
         Err(_) => "the deadline passed during the answer".to_owned(),
     };
-    flight.note_outcome(true);
-    ticket.leave_out(&flight.server);
+    flight.record_outcome(true);
+    handler.exclude(&flight.server);
     drop(flight);
-    if ticket.may_repeat() {
+    if handler.acquire_retry() {
         return Err(None);
     }
-    let kind = if ticket.remaining().is_zero() {
+    let kind = if handler.remaining().is_zero() {
         RefusalKind::DeadlineExceeded
     } else {
         RefusalKind::BackendFailed
@@ -275,18 +279,18 @@
     Err(Some(Refusal::not_run(kind, reason).with_ending(ending)))
 }
 
-fn refused<P>(ticket: &Ticket<P>, refusal: &Refusal) -> Served<P>
+fn refused<P>(handler: &RequestHandler<P>, refusal: &Refusal) -> ClientResponse<P>
 where
     P: Platform,
 {
-    if ticket.runs == 0 {
-        let now = ticket.gateway.now();
-        let mut dispatcher = ticket.gateway.dispatcher.borrow_mut();
-        dispatcher.refund(now, &ticket.admission);
+    if handler.runs == 0 {
+        let now = handler.gateway.now();
+        let mut dispatcher = handler.gateway.dispatcher.borrow_mut();
+        dispatcher.refund(now, &handler.admission);
     }
-    ticket.log_end(refusal.kind.code(), None, refusal.kind.status());
-    log_refusal(&ticket.gateway, &ticket.call, refusal);
-    Served::Whole(P::ClientProtocol::encode_refusal(refusal))
+    handler.log_end(refusal.kind.code(), None, refusal.kind.status());
+    log_refusal(&handler.gateway, &handler.call, refusal);
+    ClientResponse::Complete(P::ClientProtocol::encode_refusal(refusal))
 }
 
 fn log_refusal<P>(gateway: &Gateway<P>, call: &Call, refusal: &Refusal)
@@ -295,7 +299,7 @@
 {
     let dispatcher = gateway.dispatcher.borrow();
     let now = gateway.now();
-    gateway.metrics.note_request(refusal.kind.code());
+    gateway.metrics.count_request(refusal.kind.code());
     let wanted = call.wanted.as_ref();
     Event::new("request_refused")
         .with("request", call.attempt.as_str())
--- /dev/null
+++ b/crates/apricotwell_gateway/src/usage.rs
@@ -0,0 +1,83 @@
+//! Persists the quota usage of organisations across a restart of the whole fleet.
+//!
+//! Instances learn from each other's heartbeats how much each organisation used in the last window.
+//! If all of them are killed, that state is lost and a flood of requests could use its rate limit
+//! twice. The lease holder therefore saves the usage in the store, and each instance loads it at
+//! start.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use apricotwell_messages::FleetSpending;
+use prost::Message;
+
+use crate::adapter::{Platform, Store};
+use crate::events::Event;
+use crate::gateway::Gateway;
+
+/// Interval between two saves while any organisation is close to its limit.
+const MIN_SAVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of these intervals between two saves otherwise.
+const INTERVALS_PER_SAVE: u32 = 5;
+/// Delay before another attempt to load the saved usage.
+const RESTORE_RETRY_DELAY: Duration = Duration::from_millis(300);
+
+/// Loads the saved usage, then saves it periodically while this instance holds the lease.
+///
+/// At the first start of a fleet there is nothing to load.
+pub async fn run<P>(gateway: Rc<Gateway<P>>)
+where
+    P: Platform,
+{
+    if !gateway.dispatcher.borrow().facts.first_start {
+        restore(&gateway).await;
+    }
+    let mut intervals = 0;
+    loop {
+        tokio::time::sleep(MIN_SAVE_INTERVAL).await;
+        intervals += 1;
+        if intervals < INTERVALS_PER_SAVE && !gateway.dispatcher.borrow().is_any_tight() {
+            continue;
+        }
+        intervals = 0;
+        let now = gateway.now();
+        let usage = {
+            let mut dispatcher = gateway.dispatcher.borrow_mut();
+            let is_holder = dispatcher.lease.fence(now).is_some();
+            is_holder.then(|| dispatcher.fleet_spending(now))
+        };
+        let Some(usage) = usage else {
+            continue;
+        };
+        gateway.metrics.count_store_call("keep");
+        if let Err(error) = gateway.store.save_usage(&usage.encode_to_vec()).await {
+            log::info!("usage not saved: {error}");
+        }
+    }
+}
+
+async fn restore<P>(gateway: &Gateway<P>)
+where
+    P: Platform,
+{
+    loop {
+        let saved = gateway.store.load_usage().await;
+        gateway.metrics.count_store_call("kept");
+        let error = match saved.map(|saved| saved.as_deref().map(FleetSpending::decode)) {
+            Ok(None) => return,
+            Ok(Some(Ok(usage))) => {
+                let now = gateway.now();
+                let mut dispatcher = gateway.dispatcher.borrow_mut();
+                dispatcher.restore_spending(now, &usage);
+                Event::new("spending_restored")
+                    .with("organisations", usage.organisations.len())
+                    .log();
+                return;
+            }
+            Ok(Some(Err(error))) => error.to_string(),
+            Err(error) => error.to_string(),
+        };
+        log::info!("usage not restored: {error}");
+        tokio::time::sleep(RESTORE_RETRY_DELAY).await;
+    }
+}
--- a/crates/apricotwell_gateway/tests/budget.rs
+++ b/crates/apricotwell_gateway/tests/budget.rs
@@ -1,15 +1,15 @@
-//! Bounds on what all callers together may take.
+//! Limits on resources that all client requests share.
 
 use apricotwell_gateway::budget::Budget;
 
 #[test]
-fn no_more_is_in_use_than_the_budget_has() {
+fn reservations_never_exceed_budget() {
     let budget = Budget::new(10);
-    let mut first = budget.take(4).unwrap();
-    assert!(budget.take(7).is_none());
+    let mut first = budget.try_reserve(4).unwrap();
+    assert!(budget.try_reserve(7).is_none());
     assert!(first.grow(6));
     assert!(!first.grow(1));
-    assert!(budget.take(1).is_none());
+    assert!(budget.try_reserve(1).is_none());
     drop(first);
-    assert!(budget.take(10).is_some());
+    assert!(budget.try_reserve(10).is_some());
 }
--- a/crates/apricotwell_gateway/tests/events.rs
+++ b/crates/apricotwell_gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Log lines never block the process that writes them.
+//! Logging never blocks the process.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -6,17 +6,17 @@
 
 use apricotwell_gateway::events::LineWriter;
 
-/// Output whose reader takes a batch only when told to.
-struct Stuck {
-    go: Receiver<()>,
-    seen: Sender<Vec<u8>>,
+/// Output that blocks each write until the test permits it.
+struct BlockedOutput {
+    permits: Receiver<()>,
+    written: Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // The test may be over.
-        let _ = self.go.recv();
-        let _ = self.seen.send(bytes.to_vec());
+        // Both channels are closed once the test has ended.
+        let _ = self.permits.recv();
+        let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
     }
 
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn a_reader_that_stops_costs_lines_and_no_time() {
-    let (go, gate) = channel();
-    let (seen, lines_seen) = channel();
-    let writer = LineWriter::start(Stuck { go: gate, seen });
+fn stalled_reader_drops_lines_without_blocking() {
+    let (permit, permits) = channel();
+    let (written, batches) = channel();
+    let writer = LineWriter::start(BlockedOutput { permits, written });
     let line = "x".repeat(1000);
     let begun = Instant::now();
     for _ in 0..5_000 {
@@ -40,23 +40,23 @@
     assert!(writer.dropped() > 4_000, "{} dropped", writer.dropped());
     assert!(!writer.is_written());
     for _ in 0..8 {
-        go.send(()).unwrap();
+        permit.send(()).unwrap();
     }
-    let first = lines_seen.recv_timeout(Duration::from_secs(5)).unwrap();
+    let first = batches.recv_timeout(Duration::from_secs(5)).unwrap();
     assert_eq!(first.len(), line.len() + 1);
 }
 
 #[test]
-fn lines_come_out_whole_and_in_order() {
-    let (go, gate) = channel();
-    let (seen, lines_seen) = channel();
-    let writer = LineWriter::start(Stuck { go: gate, seen });
+fn lines_are_written_whole_and_in_order() {
+    let (permit, permits) = channel();
+    let (written, batches) = channel();
+    let writer = LineWriter::start(BlockedOutput { permits, written });
     for number in 0..3 {
         writer.push(&format!("line {number}"));
     }
     writer.flush();
-    go.send(()).unwrap();
-    let batch = lines_seen.recv_timeout(Duration::from_secs(5)).unwrap();
+    permit.send(()).unwrap();
+    let batch = batches.recv_timeout(Duration::from_secs(5)).unwrap();
     assert_eq!(batch, b"line 0\nline 1\nline 2\n");
     assert_eq!(writer.dropped(), 0);
 }
--- a/crates/apricotwell_gateway/tests/asking.rs
+++ b/crates/apricotwell_gateway/tests/feed_queries.rs
@@ -1,29 +1,29 @@
-//! Questions to other instances, whose answers may come late.
+//! Feed queries to other instances, with late responses.
 
 use std::time::{Duration, Instant};
 
 use apricotwell_dispatch::feeds::{Feed, Told};
-use apricotwell_gateway::asking::Questions;
+use apricotwell_gateway::feed_queries::FeedQueries;
 use apricotwell_messages::{Datagram, FeedAnswer};
 use apricotwell_types::InstanceId;
 use prost::Message;
 use tokio::net::UdpSocket;
 
-fn play<F>(test: F)
+fn run<F>(test: F)
 where
     F: Future<Output = ()>,
 {
     actix::System::new().block_on(test);
 }
 
-async fn next_number(peer: &UdpSocket) -> u64 {
+async fn next_query_number(peer: &UdpSocket) -> u64 {
     let mut buffer = [0; 2048];
     let (length, _) = peer.recv_from(&mut buffer).await.unwrap();
     let datagram = Datagram::decode(&buffer[..length]).unwrap();
     datagram.query.unwrap().number
 }
 
-fn answer(number: u64) -> FeedAnswer {
+fn response(number: u64) -> FeedAnswer {
     FeedAnswer {
         number,
         covers: true,
@@ -34,46 +34,48 @@
     }
 }
 
-async fn ask(questions: &Questions, socket: &UdpSocket, peer: &UdpSocket) -> Option<Told> {
+async fn query(queries: &FeedQueries, socket: &UdpSocket, peer: &UdpSocket) -> Option<Told> {
     let peer: InstanceId = peer.local_addr().unwrap().to_string().as_str().into();
-    let question = (Feed::Configuration, 7);
-    questions.ask(socket, &peer, question, Instant::now).await
+    let feed_position = (Feed::Configuration, 7);
+    queries
+        .query(socket, &peer, feed_position, Instant::now)
+        .await
 }
 
 #[test]
-fn an_answer_to_a_former_process_is_not_taken_for_one_s_own() {
-    play(async {
+fn ignores_late_response_to_query_of_earlier_process() {
+    run(async {
         let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let former = Questions::new(1_700_000_000_000);
-        let (told, old) = tokio::join!(ask(&former, &socket, &peer), next_number(&peer));
+        let earlier = FeedQueries::new(1_700_000_000_000);
+        let (told, old) = tokio::join!(query(&earlier, &socket, &peer), next_query_number(&peer));
         assert!(told.is_none());
-        let _ = next_number(&peer).await;
-        // The process starts anew, and asks before the late answer comes.
-        let questions = Questions::new(1_700_000_000_200);
+        let _ = next_query_number(&peer).await;
+        // The process restarts and sends a query before the late response arrives.
+        let queries = FeedQueries::new(1_700_000_000_200);
         let late = async {
-            next_number(&peer).await;
-            questions.note_answer(answer(old));
+            next_query_number(&peer).await;
+            queries.deliver(response(old));
         };
-        let (told, ()) = tokio::join!(ask(&questions, &socket, &peer), late);
+        let (told, ()) = tokio::join!(query(&queries, &socket, &peer), late);
         assert!(told.is_none(), "{told:?}");
     });
 }
 
 #[test]
-fn an_answer_counts_from_the_time_of_its_question() {
-    play(async {
+fn response_age_counts_from_query_time() {
+    run(async {
         let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let questions = Questions::new(1);
+        let queries = FeedQueries::new(1);
         let reply = async {
-            let number = next_number(&peer).await;
+            let number = next_query_number(&peer).await;
             let received = Instant::now();
             tokio::time::sleep(Duration::from_millis(20)).await;
-            questions.note_answer(answer(number));
+            queries.deliver(response(number));
             received
         };
-        let (told, received) = tokio::join!(ask(&questions, &socket, &peer), reply);
+        let (told, received) = tokio::join!(query(&queries, &socket, &peer), reply);
         let current = told.unwrap().current.unwrap();
         assert!(current + Duration::from_millis(100) <= received);
     });
