--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -1,7 +1,7 @@
-//! What an adapter to some platform translates.
+//! Interface between the gateway and a platform.
 //!
-//! An adapter knows the platform's names and formats and nothing else: it decides nothing, repeats
-//! nothing and keeps nothing between calls.
+//! An adapter only translates the platform's names and formats. It makes no decisions, does not
+//! retry and keeps no state between calls.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,54 +12,54 @@
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response, request, response};
 
-/// Platform that instances run on.
+/// A platform that instances run on.
 pub trait Platform: 'static {
-    /// Requests of callers.
+    /// Encoding of client requests and responses.
     type ClientProtocol: ClientProtocol;
-    /// Store.
+    /// Client of the platform's store.
     type Store: Store;
-    /// Model engines.
+    /// Client of the model engines.
     type EngineClient: EngineClient;
 }
 
-/// Attempt of a request at one server.
+/// One attempt to run a request on a server.
 #[derive(Clone, Debug)]
 pub struct Attempt<'a> {
     /// Server.
     pub server: &'a ServerId,
-    /// Time that the server may take.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// Organisation whose key came with the request.
+    /// Organisation that the request's API key belongs to.
     pub organisation: Option<&'a str>,
-    /// Rank among the server's requests, 0 first; `None` leaves it to the server.
+    /// Priority among the server's requests, 0 being the highest; `None` leaves it to the server.
     pub priority: Option<u8>,
-    /// Event after which a stream goes on, in place of what the caller said.
+    /// Id of the event after which the stream resumes; overrides the client's value.
     pub last_event: Option<u64>,
 }
 
-/// What the head of a server's answer says.
+/// Decoded head of a server's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Whether it answers the attempt that was sent.
+    /// Whether it belongs to the attempt that was sent.
     pub matches_attempt: bool,
     /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Whether another server has the address or the wanted model isn't there.
+    /// Whether another server now has the address or the requested model is not loaded there.
     pub misdirected: bool,
-    /// Whether it bears the mark of an answer that a server made.
+    /// Whether it carries the seal that marks responses produced by a server.
     pub is_sealed: bool,
 }
 
-/// Requests of callers and their forms at servers.
+/// Translates client requests for servers, and responses for clients.
 pub trait ClientProtocol: 'static {
-    /// Decodes the head of a request.
+    /// Decodes the head of a client request.
     ///
     /// # Errors
     ///
-    /// Returns the refusal for the caller.
+    /// Returns the refusal to send to the client.
     fn decode_call(head: &request::Parts) -> Result<Call, Refusal>;
 
-    /// Returns the head and body for a server.
+    /// Encodes the request to send to a server.
     fn encode_attempt(
         head: &request::Parts,
         call: &Call,
@@ -67,113 +67,118 @@
         body: Bytes,
     ) -> Request<http_body_util::Full<Bytes>>;
 
-    /// Reads the head of a server's answer to `call`.
+    /// Decodes the head of a server's response to `call`.
     fn decode_response(head: &response::Parts, call: &Call) -> ResponseHead;
 
-    /// Returns the headers of a server's answer that go on to the caller.
+    /// Returns the headers of a server's response that are forwarded to the client.
     fn relay_headers(headers: &HeaderMap) -> HeaderMap;
 
-    /// Returns the answer that tells a refusal.
+    /// Encodes a refusal as the response to the client.
     fn encode_refusal(refusal: &Refusal) -> Response<Bytes>;
 
-    /// Returns whether a request asks for the instance's readiness.
+    /// Returns whether a request is a readiness check.
     fn is_readiness(head: &request::Parts) -> bool;
 
-    /// Returns whether a request asks which addresses to use.
+    /// Returns whether a request looks up the addresses that clients can connect to.
     fn is_lookup(head: &request::Parts) -> bool;
 
-    /// Returns the answer that tells callers where to connect.
+    /// Encodes the response to an address lookup; clients may cache it for `lifetime`.
     fn encode_lookup(addresses: &[String], lifetime: Duration) -> Response<Bytes>;
 }
 
-/// Why a call to the store gave nothing.
+/// Error of a store call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// The store did nothing: it is down, busy or turns this instance away.
+    /// The store did not run the call: it is down, overloaded or rejected the call.
     Refused(String),
-    /// No answer came: what was asked may have been done, or may be done later.
+    /// No valid response was received: the call may have run, or may still run later.
     Unknown(String),
-    /// Records before this offset are gone.
+    /// Records at the requested offset have been deleted.
     Truncated,
-    /// The log ends elsewhere than the append expected.
+    /// The end of the log is not at the offset that the append expected.
     Conflict,
 }
 
 impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Refused(text) => write!(f, "the store did nothing: {text}; try again later"),
+            Self::Refused(text) => {
+                write!(f, "the store did not run the call: {text}; try again later")
+            }
             Self::Unknown(text) => {
-                write!(f, "no answer from the store: {text}; read before writing")
+                write!(
+                    f,
+                    "no valid response from the store: {text}; the call may have run, so read before writing"
+                )
             }
-            Self::Truncated => f.write_str("records were dropped; start from the newest ones"),
-            Self::Conflict => f.write_str("the log has grown; read its end again"),
+            Self::Truncated => f.write_str("the records were deleted; start from the newest ones"),
+            Self::Conflict => f.write_str("the end of the log has moved; read it again"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// News of a feed.
+/// Decoded record of a feed.
 #[derive(Clone, Debug)]
 pub enum FeedRecord {
     /// Configuration.
     Catalog(Box<Catalog>),
-    /// Entry of the list of servers.
+    /// Entry of a server in the server list.
     Entry(Entry),
-    /// A server left the list.
+    /// Removal of a server from the server list.
     Removed(ServerId),
-    /// A record that can't be read; it means nothing.
+    /// Record that can't be decoded; it is logged and otherwise ignored.
     Unreadable {
         /// Key of the record.
         key: String,
-        /// What is wrong with it.
+        /// Reason of the failure.
         reason: String,
     },
 }
 
-/// Part of a feed.
+/// Consecutive records of a feed.
 #[derive(Clone, Debug)]
 pub struct FeedPage {
-    /// News, oldest first.
+    /// Records, oldest first.
     pub records: Vec<FeedRecord>,
-    /// Offset from which to read on.
+    /// Offset from which to continue reading.
     pub next: Offset,
-    /// Whether it reaches the end of the feed.
+    /// Whether the page reaches the end of the feed.
     pub is_end: bool,
 }
 
-/// Answer to a renewal of membership.
+/// Result of joining the group or renewing the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
-    /// Number that grows with each change of the group.
+    /// Generation of the group; increases with each change of its members.
     pub generation: u64,
-    /// Whether the placement lease falls to this member.
+    /// Whether this member is the one that may claim the placement lease when it is free.
     pub is_candidate: bool,
 }
 
 /// Last claim of the placement lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastClaim {
-    /// Offset at which the next record goes.
+    /// End of the log: the offset of the next record.
     pub end: Offset,
-    /// Claimant; `None` if the record is gone.
+    /// Last record; `None` if it has been deleted.
     pub claim: Option<ClaimRecord>,
 }
 
-/// Record of the placement lease.
+/// Record of a claim of the placement lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRecord {
-    /// Member of the group.
+    /// Member of the group that claimed the lease.
     pub holder: String,
 }
 
-/// The platform's store.
+/// Client of the platform's store.
 pub trait Store: 'static {
-    /// Returns the newest records of a feed.
+    /// Reads the latest record of each key of a feed.
     fn newest(&self, feed: Feed) -> impl Future<Output = Result<FeedPage, StoreError>>;
 
-    /// Returns the records of a feed from an offset, after `wait` at most.
+    /// Reads the records of a feed from an offset; waits for new ones for `wait` at most.
     fn read(
         &self,
         feed: Feed,
@@ -181,7 +186,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<FeedPage, StoreError>>;
 
-    /// Joins the fleet's group or stays in it.
+    /// Joins the fleet's group, or renews the membership; it expires after `term`.
     fn join(
         &self,
         member: &str,
@@ -189,13 +194,13 @@
         term: Duration,
     ) -> impl Future<Output = Result<Membership, StoreError>>;
 
-    /// Keeps what the fleet spent, in place of what was kept before.
+    /// Saves the fleet's quota usage; replaces the usage saved before.
     fn save_usage(&self, spending: &[u8]) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Returns what was kept last, `None` if nothing was.
+    /// Loads the usage saved last; returns `None` if none was saved.
     fn load_usage(&self) -> impl Future<Output = Result<Option<Vec<u8>>, StoreError>>;
 
-    /// Leaves the group.
+    /// Leaves the fleet's group.
     fn leave(&self, member: &str) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Returns the members of the group.
@@ -204,7 +209,11 @@
     /// Returns the last claim of the placement lease.
     fn last_claim(&self) -> impl Future<Output = Result<LastClaim, StoreError>>;
 
-    /// Appends a claim at an offset and returns the fence that it gives.
+    /// Appends a claim of the placement lease at offset `at` and returns its fencing token.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreError::Conflict`] if the log does not end at `at`.
     fn append_claim(
         &self,
         at: Offset,
@@ -212,16 +221,16 @@
     ) -> impl Future<Output = Result<Fence, StoreError>>;
 }
 
-/// Orders to model engines.
+/// Client of the model engines on servers.
 pub trait EngineClient: 'static {
-    /// Returns a server's report, `None` if it gave none.
+    /// Requests a server's report; returns `None` if there is no valid response.
     fn report(
         &self,
         address: SocketAddr,
         server: &ServerId,
     ) -> impl Future<Output = Option<StatusReport>>;
 
-    /// Gives an order.
+    /// Sends an order to a server, with the lease holder and its fencing token.
     fn order(
         &self,
         address: SocketAddr,
--- a/crates/apricotwell_gateway/src/daemon.rs
+++ b/crates/apricotwell_gateway/src/daemon.rs
@@ -30,8 +30,8 @@
 const AUXILIARY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Part of the grace period reserved for the exit of the process itself.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(900);
-/// Minimum time between a request to stop and the closing of client connections, so that clients that
-/// looked up this instance's address shortly before can still connect.
+/// Minimum time between a request to stop and the closing of client connections, so that clients
+/// that looked up this instance's address shortly before can still connect.
 const MIN_SHUTDOWN_DELAY: Duration = Duration::from_millis(3200);
 /// Time limit for writing the last log lines.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
--- a/crates/apricotwell_gateway/src/events.rs
+++ b/crates/apricotwell_gateway/src/events.rs
@@ -17,8 +17,8 @@
 
 /// Non-blocking line writer.
 ///
-/// Lines are collected in a bounded buffer and written in batches by a dedicated thread, so a stalled
-/// reader of the output loses lines but never blocks the process.
+/// Lines are collected in a bounded buffer and written in batches by a dedicated thread, so a
+/// stalled reader of the output loses lines but never blocks the process.
 #[derive(Clone)]
 pub struct LineWriter {
     buffer: Arc<Mutex<Vec<u8>>>,
--- a/crates/apricotwell_gateway/src/feed_queries.rs
+++ b/crates/apricotwell_gateway/src/feed_queries.rs
@@ -43,8 +43,8 @@
 
     /// Queries another instance for the changes of a feed after an offset.
     ///
-    /// `clock` must be the decision clock. Returns `None` if the instance does not respond, or if its
-    /// response does not cover all changes since the offset.
+    /// `clock` must be the decision clock. Returns `None` if the instance does not respond, or if
+    /// its response does not cover all changes since the offset.
     pub async fn query<C>(
         &self,
         socket: &UdpSocket,
--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Tasks that follow the store's feeds, themselves or through another instance.
+//! Tasks that follow the store's feeds, read from the store or through another instance.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,28 +12,29 @@
 use crate::events::Event;
 use crate::gateway::Gateway;
 
-/// Longest wait of one read of the configuration; bounds the age of the view on a quiet day.
+/// Maximum wait of one long poll of the configuration; bounds the age of the view while nothing
+/// changes.
 const CONFIGURATION_READ_WAIT: Duration = Duration::from_millis(1500);
-/// Share of the time within which a leaving server must get no more work, that passes between two
-/// reads of the list of servers.
+/// Interval between two reads of the server list, as a fraction of `Timings::drain`.
 const SERVERS_READ_FRACTION: f64 = 0.3;
-/// Pause between two questions to another instance.
+/// Interval between two queries to another instance.
 const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(500);
-/// Age beyond which another instance's view of the configuration is not used.
+/// Maximum age of another instance's view of the configuration; an older one is followed by a read
+/// of the store.
 const MAX_CONFIGURATION_AGE: Duration = Duration::from_millis(2200);
-/// Share of the time within which a leaving server must get no more work, beyond which another
-/// instance's view of the list is not used.
+/// Maximum age of another instance's view of the server list, as a fraction of `Timings::drain`; an
+/// older one is followed by a read of the store.
 const MAX_SERVERS_AGE_FRACTION: f64 = 0.6;
-/// Pause after a second call that the store did not serve; each further one adds as much. After the
-/// first there is none: most often only its connection was broken.
+/// Step of the linear retry backoff, from the second consecutive failure on. The first retry is
+/// immediate, since most often only the connection was broken.
 const RETRY_DELAY_STEP: Duration = Duration::from_millis(400);
-/// Calls after which the pause grows no more.
+/// Consecutive failures after which the backoff stops growing.
 const MAX_RETRY_STEPS: u32 = 4;
-/// Time after an outage of the store in which servers that left the list are still used: the entries
-/// of those that live come back by then.
+/// Time after a store outage during which servers removed from the list are still used. By its end,
+/// the entries of running servers are back in the list.
 const REJOIN_TIME: Duration = Duration::from_millis(2200);
 
-/// Follows one feed for ever.
+/// Follows one feed; never returns.
 pub async fn follow<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>, feed: Feed)
 where
     P: Platform,
@@ -61,12 +62,12 @@
     gateway: Rc<Gateway<P>>,
     socket: Rc<UdpSocket>,
     feed: Feed,
-    // Offset from which to read; unknown before the newest records were read.
+    // Offset from which to read; `None` until the newest records have been read.
     next: Option<Offset>,
-    // Where the last step looked.
+    // Source of the last step.
     source: Source,
     failing_since: Option<Instant>,
-    // Calls in a row that the store did not serve.
+    // Number of consecutive failed store calls.
     failures: u32,
     outage_end: Option<Instant>,
 }
@@ -75,7 +76,7 @@
 where
     P: Platform,
 {
-    // Learns once what is new; returns the pause before the next time.
+    // Fetches new records once; returns the pause before the next step.
     async fn step(&mut self) -> Duration {
         let Some(from) = self.next else {
             return self.read_store(Duration::ZERO).await;
@@ -96,30 +97,30 @@
         }
     }
 
-    // Asks another instance; returns the pause before the next question, `None` if its view is of no
-    // use.
+    // Queries another instance; returns the pause before the next query, or `None` if there was no
+    // usable response or its view is too old.
     async fn query_peer(&mut self, peer: &InstanceId, from: Offset) -> Option<Duration> {
-        let question = (self.feed, from);
+        let feed_position = (self.feed, from);
         let clock = || self.gateway.now();
-        let asked = self
+        let response = self
             .gateway
             .feed_queries
-            .query(&self.socket, peer, question, clock);
+            .query(&self.socket, peer, feed_position, clock);
         let Told {
             changes,
             next,
             current,
-        } = asked.await?;
-        let news = changes.into_iter().map(|change| match change {
+        } = response.await?;
+        let records = changes.into_iter().map(|change| match change {
             ListChange::Entry(entry) => FeedRecord::Entry(entry),
             ListChange::Removed(id) => FeedRecord::Removed(id),
         });
-        let part = FeedPage {
-            records: news.collect(),
+        let page = FeedPage {
+            records: records.collect(),
             next,
             is_end: current.is_some(),
         };
-        self.apply(current, part);
+        self.apply(current, page);
         let Some(current) = current else {
             return Some(Duration::ZERO);
         };
@@ -137,24 +138,23 @@
     // Reads the store once; returns the pause before the next read.
     async fn read_store(&mut self, wait: Duration) -> Duration {
         let start = self.gateway.now();
-        let part = match self.next {
+        let page = match self.next {
             Some(next) => self.gateway.store.read(self.feed, next, wait).await,
             None => self.gateway.store.newest(self.feed).await,
         };
-        match part {
-            Ok(part) => {
+        match page {
+            Ok(page) => {
                 self.gateway.metrics.count_store_call("read");
                 self.record_success();
-                let pauses = self.feed == Feed::Servers && part.is_end;
-                // A read that waited and brought nothing says that nothing came until its wait was
-                // over.
+                let pauses = self.feed == Feed::Servers && page.is_end;
+                // A long poll without records shows that there were none until the end of its wait.
                 let waited = self.gateway.now().saturating_duration_since(start);
                 let current = match self.next {
-                    Some(_) if part.records.is_empty() => start + wait.min(waited),
+                    Some(_) if page.records.is_empty() => start + wait.min(waited),
                     _ => start,
                 };
-                let current = part.is_end.then_some(current);
-                self.apply(current, part);
+                let current = page.is_end.then_some(current);
+                self.apply(current, page);
                 if pauses {
                     self.gateway.times.drain.mul_f64(SERVERS_READ_FRACTION)
                 } else {
@@ -172,26 +172,27 @@
         }
     }
 
-    // Applies what came; nothing else had come at `current`, if that is known.
-    fn apply(&mut self, current: Option<Instant>, part: FeedPage) {
+    // Applies a page of records. If `current` is set, the page is complete up to that time.
+    fn apply(&mut self, current: Option<Instant>, page: FeedPage) {
         let from = self.next;
         if from.is_none() && self.feed == Feed::Servers {
-            self.remove_missing(&part);
+            self.remove_missing(&page);
             self.gateway
                 .dispatcher
                 .borrow_mut()
                 .feeds
-                .start_from(part.next);
+                .start_from(page.next);
         }
-        self.next = Some(part.next);
-        let changed = !part.records.is_empty();
-        // Each record of the list is one piece of news, so that their offsets are known.
-        let first = part
+        self.next = Some(page.next);
+        let changed = !page.records.is_empty();
+        // Each record of the server list yields one item, so offsets follow from the end of the
+        // page.
+        let first = page
             .next
-            .saturating_sub(part.records.len() as u64)
+            .saturating_sub(page.records.len() as u64)
             .max(from.unwrap_or_default());
-        for (offset, news) in (first + 1..).zip(part.records) {
-            self.apply_record(offset.min(part.next), news);
+        for (offset, record) in (first + 1..).zip(page.records) {
+            self.apply_record(offset.min(page.next), record);
         }
         if changed {
             self.gateway.servers_changed.notify_waiters();
@@ -201,7 +202,7 @@
             return;
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.feeds.note_current(self.feed, part.next, current);
+        dispatcher.feeds.note_current(self.feed, page.next, current);
         if self.feed == Feed::Configuration {
             dispatcher.freshness.note_current(current);
         }
@@ -217,11 +218,11 @@
         }
     }
 
-    // Applies one piece of news, after which the feed is known up to `offset`.
-    fn apply_record(&self, offset: Offset, news: FeedRecord) {
+    // Applies one record; the feed is then known up to `offset`.
+    fn apply_record(&self, offset: Offset, record: FeedRecord) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        match news {
+        match record {
             FeedRecord::Catalog(catalog) => {
                 let version = catalog.version;
                 let applied = dispatcher.apply_catalog(*catalog);
@@ -239,12 +240,12 @@
                 dispatcher.backends.note_entry(now, entry);
             }
             FeedRecord::Removed(id) => {
-                let keep = self.removal_grace(now);
+                let grace = self.removal_grace(now);
                 Event::new("server_removed")
                     .with("server", &*id)
-                    .with("kept_ms", keep.map(|keep| keep.as_millis() as u64))
+                    .with("kept_ms", grace.map(|grace| grace.as_millis() as u64))
                     .log();
-                dispatcher.backends.note_removed(now, &id, keep);
+                dispatcher.backends.note_removed(now, &id, grace);
                 dispatcher.prompts.remove_server(&id);
                 let change = ListChange::Removed(id);
                 dispatcher.feeds.note_change(offset, &change);
@@ -256,21 +257,23 @@
         }
     }
 
-    fn remove_missing(&self, part: &FeedPage) {
+    // Removes the known servers that are not on a page of the newest records.
+    fn remove_missing(&self, page: &FeedPage) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        let keep = self.removal_grace(now);
+        let grace = self.removal_grace(now);
         for id in dispatcher.backends.listed() {
-            let is_listed = part
+            let is_listed = page
                 .records
                 .iter()
-                .any(|news| matches!(news, FeedRecord::Entry(entry) if entry.id == id));
+                .any(|record| matches!(record, FeedRecord::Entry(entry) if entry.id == id));
             if !is_listed {
-                dispatcher.backends.note_removed(now, &id, keep);
+                dispatcher.backends.note_removed(now, &id, grace);
             }
         }
     }
 
+    // Returns how long a removed server is still used; `None` if there was no recent outage.
     fn removal_grace(&self, now: Instant) -> Option<Duration> {
         let end = self.outage_end? + REJOIN_TIME;
         (now < end).then(|| end.saturating_duration_since(now))
--- a/crates/apricotwell_gateway/src/gateway.rs
+++ b/crates/apricotwell_gateway/src/gateway.rs
@@ -14,8 +14,8 @@
 use crate::metrics::Metrics;
 use crate::pool::ConnectionPool;
 
-/// Limit on open client connections. The process has about 4000 file descriptors; the remaining ones
-/// are for connections to servers.
+/// Limit on open client connections. The process has about 4000 file descriptors; the remaining
+/// ones are for connections to servers.
 const MAX_CONNECTIONS: usize = 2500;
 /// Limit on the bytes of request bodies in memory, well below an instance's memory.
 const MAX_BODY_BYTES: usize = 64 << 20;
--- a/crates/apricotwell_gateway/src/guard.rs
+++ b/crates/apricotwell_gateway/src/guard.rs
@@ -1,4 +1,4 @@
-//! Guards that give back what a request holds, however it ends.
+//! RAII guards that undo the accounting of a request on drop.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use crate::adapter::Platform;
 use crate::gateway::Gateway;
 
-/// Counts a request as being served until it is dropped.
+/// Counts a request as being served until the guard is dropped.
 pub struct ActiveGuard<P>
 where
     P: Platform,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Counts a request as in flight at a server until it is dropped.
+/// Counts a request as in flight on a server until the guard is dropped.
 pub struct FlightGuard<P>
 where
     P: Platform,
@@ -55,7 +55,7 @@
 where
     P: Platform,
 {
-    /// Counts one request at `server`, which has to read `tokens` of its prompt.
+    /// Counts one request on `server`, which has to process `tokens` prompt tokens for it.
     pub fn new(gateway: &Rc<Gateway<P>>, server: ServerId, tokens: f64) -> Self {
         let now = gateway.now();
         let mut dispatcher = gateway.dispatcher.borrow_mut();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Notes whether the server answered as it should.
+    /// Records whether the server failed the request.
     pub fn record_outcome(&self, failed: bool) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
@@ -87,29 +87,29 @@
     }
 }
 
-/// Counts a request as waiting for a model until it is dropped.
+/// Counts a request as waiting for a model until the guard is dropped.
 pub struct WaitGuard<P>
 where
     P: Platform,
 {
     gateway: Rc<Gateway<P>>,
     service: ServiceId,
-    wanted: RequestedModel,
-    wait: u64,
+    model: RequestedModel,
+    wait_id: u64,
 }
 
 impl<P> WaitGuard<P>
 where
     P: Platform,
 {
-    /// Counts one request, `None` if it wants no model.
+    /// Counts one request; returns `None` if it requests no model.
     pub fn new(gateway: &Rc<Gateway<P>>, admission: &Admission) -> Option<Self> {
-        let wanted = admission.wanted.clone()?;
+        let model = admission.wanted.clone()?;
         let now = gateway.now();
-        let wait = gateway.dispatcher.borrow_mut().demand.begin_wait(
+        let wait_id = gateway.dispatcher.borrow_mut().demand.begin_wait(
             now,
             &admission.service,
-            &wanted,
+            &model,
             admission.silence,
         );
         gateway.demand_changed.notify_one();
@@ -117,8 +117,8 @@
         Some(Self {
             gateway: Rc::clone(gateway),
             service: admission.service.clone(),
-            wanted,
-            wait,
+            model,
+            wait_id,
         })
     }
 }
@@ -130,6 +130,6 @@
     fn drop(&mut self) {
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let demand = &mut dispatcher.demand;
-        demand.end_wait(&self.service, &self.wanted, self.wait);
+        demand.end_wait(&self.service, &self.model, self.wait_id);
     }
 }
--- a/crates/apricotwell_gateway/src/handler.rs
+++ b/crates/apricotwell_gateway/src/handler.rs
@@ -1,4 +1,4 @@
-//! One request on its way through an instance.
+//! Handling of one admitted request: server selection, attempts and retries.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,62 +12,64 @@
 use crate::gateway::Gateway;
 use crate::guard::{ActiveGuard, FlightGuard, WaitGuard};
 use crate::pool::{Reuse, SendError, StreamingResponse};
-use crate::requests::HeldBody;
+use crate::requests::BufferedBody;
 
-/// Age up to which an idle connection carries a request that must not run twice.
+/// Maximum idle time of a connection that is reused for a request that must not run twice.
 const MAX_FRESH_IDLE: Duration = Duration::from_millis(1500);
-/// Longest wait before a waiting request looks again without being told of a change.
+/// Maximum interval at which a waiting request looks for a server, even if no change was signalled.
 const SERVER_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Multiple of the target after which a plain answer that may be repeated is asked for elsewhere.
-const PLAIN_HEDGE_FACTOR: u32 = 4;
-/// Share of the grace of an instance that stops in which requests may still wait for a server.
+/// Multiple of the route's latency target after which an attempt of a repeatable request without
+/// streaming is abandoned and retried on another server.
+const PLAIN_TIMEOUT_FACTOR: u32 = 4;
+/// Fraction of the grace period during which requests may still wait for a server after a request
+/// to stop.
 const WAIT_GRACE_FRACTION: f64 = 0.55;
-/// Servers that may turn a request away before it is given up.
+/// Number of rejections by servers after which a request is refused.
 const MAX_REJECTIONS: usize = 8;
 
-/// Request that was taken, with what its attempts need.
+/// An admitted request and the state of its attempts.
 pub struct RequestHandler<P>
 where
     P: Platform,
 {
-    /// Instance.
+    /// Instance that serves the request.
     pub gateway: Rc<Gateway<P>>,
-    /// Head as it came.
+    /// Request head as received.
     pub head: request::Parts,
-    /// Body as it came.
-    pub body: HeldBody,
-    /// Head decoded.
+    /// Request body as received.
+    pub body: BufferedBody,
+    /// Decoded request head.
     pub call: Call,
-    /// Decision to take it.
+    /// Result of the admission.
     pub admission: Admission,
-    /// Servers that are not to be tried again.
+    /// Servers excluded from further attempts.
     pub excluded: Vec<ServerId>,
-    /// Servers that may have run it.
+    /// Number of attempts that a server ran or may have run.
     pub runs: u32,
-    // Times that a server turned it away.
+    // Number of attempts that were not sent or that a server rejected without running them.
     rejections: usize,
-    /// When a server was found for the last attempt.
-    found: Option<Instant>,
-    /// When the first byte of the answer came.
+    /// Time at which a server was selected for the last attempt.
+    server_found: Option<Instant>,
+    /// Time at which the first bytes of the response were received.
     first_byte: Option<Instant>,
-    // When the last bytes of the answer came.
+    // Time at which the last bytes of the response were received.
     last_bytes: Option<Instant>,
-    // Longest pause between bytes of the answer.
+    // Longest pause between bytes of the response.
     longest_pause: Duration,
-    // Counts the request until its answer has ended.
+    // Counts the request as active until its response has ended.
     _active: ActiveGuard<P>,
 }
 
-/// What came of one attempt.
+/// Outcome of one attempt.
 pub enum AttemptOutcome<P>
 where
     P: Platform,
 {
-    /// An answer to this attempt.
-    StreamingResponse(Box<StreamingResponse>, FlightGuard<P>),
-    /// The server did not run it.
+    /// The server responded to this attempt.
+    Response(Box<StreamingResponse>, FlightGuard<P>),
+    /// No server ran the attempt; the reason.
     NotRun(String),
-    /// The server may have run it.
+    /// The server may have run the attempt, but there is no valid response; the reason.
     Lost(String),
 }
 
@@ -75,11 +77,11 @@
 where
     P: Platform,
 {
-    /// Returns the ticket of a request that was just taken.
+    /// Creates the handler of a request that was just admitted.
     pub fn new(
         gateway: &Rc<Gateway<P>>,
         head: request::Parts,
-        body: HeldBody,
+        body: BufferedBody,
         call: Call,
         admission: Admission,
     ) -> Self {
@@ -92,7 +94,7 @@
             excluded: Vec::new(),
             runs: 0,
             rejections: 0,
-            found: None,
+            server_found: None,
             first_byte: None,
             last_bytes: None,
             longest_pause: Duration::ZERO,
@@ -106,28 +108,30 @@
         self.admission.deadline.saturating_duration_since(now)
     }
 
-    /// Counts the caller's patience from now on, after bytes of the answer have reached it.
+    /// Restarts the client's timeout for the next event of the response.
+    ///
+    /// To be called when a stream is resumed, after the client has received part of it.
     pub fn reset_wait_deadline(&mut self) {
-        let patience = self.admission.route.patience();
-        self.admission.silence = (self.gateway.now() + patience).min(self.admission.deadline);
+        let timeout = self.admission.route.patience();
+        self.admission.silence = (self.gateway.now() + timeout).min(self.admission.deadline);
     }
 
-    /// Finds a server and gets its answer's head.
+    /// Sends attempts until a server responds; returns its response.
     ///
     /// # Errors
     ///
-    /// Returns the refusal for the caller.
+    /// Returns the refusal to send to the client.
     pub async fn first_response(
         &mut self,
         last_event: Option<u64>,
     ) -> Result<(Box<StreamingResponse>, FlightGuard<P>), Refusal> {
         loop {
             let (server, address) = self.find_server().await?;
-            let sent = self.send(&server, address, last_event).await;
-            match sent {
-                AttemptOutcome::StreamingResponse(answer, flight) => {
-                    if !self.should_retry(&server, &answer) {
-                        return Ok((answer, flight));
+            let outcome = self.send(&server, address, last_event).await;
+            match outcome {
+                AttemptOutcome::Response(response, flight) => {
+                    if !self.should_retry(&server, &response) {
+                        return Ok((response, flight));
                     }
                     flight.record_outcome(true);
                     self.excluded.push(server);
@@ -144,7 +148,8 @@
         }
     }
 
-    /// Returns whether another attempt is allowed after one that may have run.
+    /// Returns whether another attempt is allowed after one that may have run; if so, takes it from
+    /// the retry budget.
     pub fn acquire_retry(&self) -> bool {
         let route = &self.admission.route;
         let now = self.gateway.now();
@@ -158,21 +163,22 @@
                 .take_retry(now, &self.admission)
     }
 
-    // A server's failure is passed on unless another server may do better.
-    fn should_retry(&self, server: &ServerId, answer: &StreamingResponse) -> bool {
-        answer.head.status.is_server_error()
+    // Returns whether a server error should be retried on another server instead of being forwarded
+    // to the client.
+    fn should_retry(&self, server: &ServerId, response: &StreamingResponse) -> bool {
+        response.head.status.is_server_error()
             && self.has_other_server(server)
             && self.acquire_retry()
     }
 
-    /// Leaves a server out of further attempts, unless no other one can be sent to right now.
+    /// Excludes a server from further attempts, unless no other server is available right now.
     pub fn exclude(&mut self, server: &ServerId) {
         if self.has_other_server(server) {
             self.excluded.push(server.clone());
         }
     }
 
-    /// Returns whether another server could be sent to right now.
+    /// Returns whether another server is available for the request right now.
     pub fn has_other_server(&self, server: &ServerId) -> bool {
         let mut excluded = self.excluded.clone();
         excluded.push(server.clone());
@@ -182,7 +188,8 @@
     }
 
     fn on_rejection(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
-        // A server that lacked the model may have it a moment later.
+        // A server that rejected a request for a model is not excluded, since it may load it
+        // shortly.
         if reason == UNSENT || self.admission.wanted.is_none() {
             self.excluded.push(server.clone());
         }
@@ -195,7 +202,7 @@
         if allowed {
             return Ok(());
         }
-        let text = "the servers turned the request away; come back later";
+        let text = "the servers rejected the request; retry later";
         Err(self.refusal(RefusalKind::Overloaded, text))
     }
 
@@ -212,6 +219,7 @@
         Err(self.refusal(kind, reason))
     }
 
+    // Builds the refusal for a request whose attempts failed.
     fn refusal(&self, kind: RefusalKind, text: &str) -> Refusal {
         if self.runs > 0 {
             let kind = match kind {
@@ -223,6 +231,7 @@
         Refusal::not_run(kind, text).with_retry_after(Duration::from_millis(300))
     }
 
+    // Selects a server, waiting for one if necessary.
     async fn find_server(&mut self) -> Result<(ServerId, std::net::SocketAddr), Refusal> {
         let mut waiting = None;
         loop {
@@ -236,7 +245,7 @@
             };
             match choice {
                 Choice::Send(server, address) => {
-                    self.found = Some(now);
+                    self.server_found = Some(now);
                     return Ok((server, address));
                 }
                 Choice::Refuse(refusal) if self.runs == 0 => return Err(refusal),
@@ -246,7 +255,7 @@
                 Choice::Wait => {}
             }
             if self.must_stop_waiting() {
-                let text = "this instance stops; use another one";
+                let text = "this instance is shutting down; use another one";
                 return Err(self.refusal(RefusalKind::Unavailable, text));
             }
             if waiting.is_none() {
@@ -254,12 +263,13 @@
                 self.log_wait();
             }
             let left = self.admission.silence.saturating_duration_since(now);
-            // A change may not be told, so the end of the wait is looked for as well.
+            // Not every change is signalled, and the end of the wait never is, so this polls as
+            // well.
             let _ = tokio::time::timeout(left.min(SERVER_POLL_INTERVAL), changed).await;
         }
     }
 
-    /// Sends one attempt and waits for the head of its answer.
+    /// Sends one attempt and waits for the head of the response.
     pub async fn send(
         &mut self,
         server: &ServerId,
@@ -290,30 +300,30 @@
         } else {
             Reuse::Within(MAX_FRESH_IDLE)
         };
-        let sending = self.gateway.pool.send(address, request, reuse);
-        let sent = tokio::time::timeout(self.head_timeout(), sending).await;
-        self.classify_response(sent, flight)
+        let response = self.gateway.pool.send(address, request, reuse);
+        let result = tokio::time::timeout(self.head_timeout(), response).await;
+        self.classify_response(result, flight)
     }
 
-    // Returns the tokens that the server has to read.
+    // Records that the server receives the prompt; returns the prompt tokens not yet in its cache.
     fn record_prompt(&self, server: &ServerId) -> f64 {
-        let Some(wanted) = &self.admission.wanted else {
+        let Some(model) = &self.admission.wanted else {
             return 0.0;
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let prompts = &mut dispatcher.prompts;
-        let tokens = prompts.uncached_tokens(server, wanted, &self.call.prompt);
-        prompts.record_sent(server, wanted, &self.call.prompt);
+        let tokens = prompts.uncached_tokens(server, model, &self.call.prompt);
+        prompts.record_sent(server, model, &self.call.prompt);
         tokens
     }
 
     fn classify_response(
         &mut self,
-        sent: Result<Result<StreamingResponse, SendError>, tokio::time::error::Elapsed>,
+        result: Result<Result<StreamingResponse, SendError>, tokio::time::error::Elapsed>,
         flight: FlightGuard<P>,
     ) -> AttemptOutcome<P> {
-        let answer = match sent {
-            Ok(Ok(answer)) => answer,
+        let response = match result {
+            Ok(Ok(response)) => response,
             Ok(Err(SendError::Unsent(_))) => {
                 flight.record_outcome(true);
                 return AttemptOutcome::NotRun(UNSENT.to_owned());
@@ -326,10 +336,10 @@
             Err(_) => {
                 self.runs += 1;
                 flight.record_outcome(true);
-                return AttemptOutcome::Lost("no answer in time".to_owned());
+                return AttemptOutcome::Lost("no response in time".to_owned());
             }
         };
-        let head = P::ClientProtocol::decode_response(&answer.head, &self.call);
+        let head = P::ClientProtocol::decode_response(&response.head, &self.call);
         if head.misdirected {
             self.record_rejection(&flight.server);
             return AttemptOutcome::NotRun("misdirected".to_owned());
@@ -339,35 +349,37 @@
             return AttemptOutcome::NotRun("turned away".to_owned());
         }
         self.runs += 1;
-        if !head.matches_attempt || (answer.head.status.is_success() && !head.is_sealed) {
+        if !head.matches_attempt || (response.head.status.is_success() && !head.is_sealed) {
             flight.record_outcome(true);
-            return AttemptOutcome::Lost("the answer belongs to another request".to_owned());
+            return AttemptOutcome::Lost("the response belongs to another request".to_owned());
         }
-        AttemptOutcome::StreamingResponse(Box::new(answer), flight)
+        AttemptOutcome::Response(Box::new(response), flight)
     }
 
+    // Records that the server does not have the requested model.
     fn record_rejection(&self, server: &ServerId) {
-        let Some(wanted) = &self.admission.wanted else {
+        let Some(model) = &self.admission.wanted else {
             return;
         };
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_denied(now, server, wanted);
+        dispatcher.backends.note_denied(now, server, model);
     }
 
-    // Time for the head of an answer: shorter than the deadline where another server may do better.
+    // Returns the timeout for the head of a response. It is shorter than the time to the deadline
+    // if the request can be retried on another server.
     fn head_timeout(&self) -> Duration {
         let remaining = self.remaining();
         let route = &self.admission.route;
         if !route.kind.is_repeatable() || self.runs + 1 >= route.max_attempts {
             return remaining;
         }
-        let hedge = if route.kind.is_stream() {
+        let retry_timeout = if route.kind.is_stream() {
             route.target / 2
         } else {
-            route.target * PLAIN_HEDGE_FACTOR
+            route.target * PLAIN_TIMEOUT_FACTOR
         };
-        let other = {
+        let has_other = {
             let dispatcher = self.gateway.dispatcher.borrow();
             let now = self.gateway.now();
             let mut servers = dispatcher.backends.usable(now, &self.admission.service);
@@ -377,14 +389,15 @@
                 .count()
                 > self.excluded.len() + 1
         };
-        if other {
-            remaining.min(hedge)
+        if has_other {
+            remaining.min(retry_timeout)
         } else {
             remaining
         }
     }
 
-    // A request that still waits when the instance stops gets its answer while there is time.
+    // Returns whether a waiting request must be refused because the instance is stopping. Until
+    // then, the rest of the grace period is long enough to serve it.
     fn must_stop_waiting(&self) -> bool {
         let limit = self.gateway.times.grace.mul_f64(WAIT_GRACE_FRACTION);
         self.gateway
@@ -415,7 +428,7 @@
             .log();
     }
 
-    /// Logs the end of the request.
+    /// Logs the end of the request and counts its outcome.
     pub fn log_end(&self, outcome: &str, server: Option<&ServerId>, status: u16) {
         let now = self.gateway.now();
         let time = now.saturating_duration_since(self.admission.arrived);
@@ -429,7 +442,7 @@
             .with("runs", self.runs)
             .with("model", self.model_name())
             .with("tokens", self.admission.tokens)
-            .with("waited_ms", self.millis_to(self.found))
+            .with("waited_ms", self.millis_to(self.server_found))
             .with("first_byte_ms", self.millis_to(self.first_byte))
             .with_time("longest_pause_ms", self.longest_pause)
             .with_time("ms", time)
@@ -437,16 +450,17 @@
     }
 
     fn model_name(&self) -> &str {
-        let wanted = self.admission.wanted.as_ref();
-        wanted.map_or("", |wanted| &*wanted.model)
+        let requested = self.admission.wanted.as_ref();
+        requested.map_or("", |requested| &*requested.model)
     }
 
-    fn millis_to(&self, moment: Option<Instant>) -> Option<u64> {
-        let time = moment?.saturating_duration_since(self.admission.arrived);
+    // Returns the milliseconds from the arrival of the request to `end`.
+    fn millis_to(&self, end: Option<Instant>) -> Option<u64> {
+        let time = end?.saturating_duration_since(self.admission.arrived);
         Some(time.as_millis() as u64)
     }
 
-    /// Notes bytes of the answer.
+    /// Records that bytes of the response were received.
     pub fn record_bytes(&mut self) {
         let now = self.gateway.now();
         if let Some(last) = self.last_bytes.replace(now) {
@@ -460,5 +474,5 @@
     }
 }
 
-/// Reason of an attempt of which nothing was sent.
+/// Reason logged for an attempt of which nothing was sent.
 const UNSENT: &str = "not sent";
--- a/crates/apricotwell_gateway/src/heartbeats.rs
+++ b/crates/apricotwell_gateway/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Tasks that tell the other instances what this one does, and hear them.
+//! Exchange of datagrams with the other instances: heartbeats, inventory updates and feed queries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,30 +13,31 @@
 use crate::adapter::Platform;
 use crate::gateway::Gateway;
 
-/// Least time between heartbeats that tell of a change.
+/// Minimum interval between heartbeats sent because of a change.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(30);
-/// Part of the least time between heartbeats that each instance adds.
+/// Minimum interval between heartbeats to all instances, per instance of the fleet. The longer of
+/// the two minimums applies.
 const MIN_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(4);
-/// Bytes of the largest datagram.
+/// Size limit of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 
-/// Whom a heartbeat goes to.
+/// Recipients of the next heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Recipients {
     /// All other instances.
     All,
     /// The holder of the placement lease.
     LeaseHolder,
-    /// Nobody: only what servers hold is told.
+    /// No instance; only an inventory update is sent.
     Nobody,
 }
 
-/// Tells the other instances what this one does, at intervals and on changes.
+/// Sends heartbeats and inventory updates to the other instances, periodically and on changes.
 pub async fn broadcast<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>)
 where
     P: Platform,
 {
-    let mut news = StockNews::default();
+    let mut inventory = StockNews::default();
     let mut recipients = Recipients::All;
     let mut turn = 0;
     let mut due = tokio::time::Instant::now();
@@ -46,11 +47,11 @@
             send_heartbeat(&gateway, &socket, recipients).await;
         }
         if recipients == Recipients::All {
-            // The larger the fleet, the rarer the heartbeats: each instance's share stays the same.
+            // The interval grows with the fleet, so that the load on each instance stays the same.
             due = tokio::time::Instant::now() + heartbeat_pause(instances);
         }
         if recipients != Recipients::LeaseHolder {
-            broadcast_inventory(&gateway, &socket, &mut news, turn).await;
+            broadcast_inventory(&gateway, &socket, &mut inventory, turn).await;
             turn += 1;
         }
         tokio::time::sleep(match recipients {
@@ -64,13 +65,13 @@
             () = tokio::time::sleep_until(due) => Recipients::All,
             () = gateway.heartbeat_due.notified() => Recipients::All,
             () = gateway.demand_changed.notified() => Recipients::LeaseHolder,
-            () = wait_inventory_change(&gateway, &news) => Recipients::Nobody,
+            () = wait_inventory_change(&gateway, &inventory) => Recipients::Nobody,
         };
     }
 }
 
-// Waits until servers hold something else than the others were told.
-async fn wait_inventory_change<P>(gateway: &Gateway<P>, news: &StockNews)
+// Waits until this instance holds the lease and the inventory differs from the last update sent.
+async fn wait_inventory_change<P>(gateway: &Gateway<P>, inventory: &StockNews)
 where
     P: Platform,
 {
@@ -79,83 +80,83 @@
         let now = gateway.now();
         let dispatcher = gateway.dispatcher.borrow();
         let (planner, list) = (&dispatcher.stock, &dispatcher.backends);
-        if dispatcher.lease.fence(now).is_some() && news.has_change(now, planner, list) {
+        if dispatcher.lease.fence(now).is_some() && inventory.has_change(now, planner, list) {
             return;
         }
     }
 }
 
-// Tells what servers hold, if this instance holds the lease.
+// Sends an inventory update, if this instance holds the lease.
 async fn broadcast_inventory<P>(
     gateway: &Gateway<P>,
     socket: &UdpSocket,
-    news: &mut StockNews,
+    inventory: &mut StockNews,
     turn: usize,
 ) where
     P: Platform,
 {
     let now = gateway.now();
-    let (told, recipients) = {
+    let (update, recipients) = {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
         let Some(fence) = dispatcher.lease.fence(now) else {
             return;
         };
-        let told = StockTold {
+        let update = StockTold {
             fence,
             relay: false,
-            servers: news.take(now, &dispatcher.stock, &dispatcher.backends),
+            servers: inventory.take(now, &dispatcher.stock, &dispatcher.backends),
         };
-        dispatcher.note_stock(now, &told);
-        (told, dispatcher.stock_audience(now, turn))
+        dispatcher.note_stock(now, &update);
+        (update, dispatcher.stock_audience(now, turn))
     };
-    if told.servers.is_empty() {
+    if update.servers.is_empty() {
         return;
     }
     gateway.servers_changed.notify_waiters();
     let relayed = StockTold {
         relay: true,
-        ..told.clone()
+        ..update.clone()
     };
-    let (told, relayed) = (encode_inventory(told), encode_inventory(relayed));
+    let (update, relayed) = (encode_inventory(update), encode_inventory(relayed));
     for (target, relays) in recipients {
-        let bytes = if relays { &relayed } else { &told };
+        let bytes = if relays { &relayed } else { &update };
         send(socket, bytes, &target).await;
     }
 }
 
-// Takes what the lease holder tells of servers, and passes it on within the zone if asked to.
-async fn apply_inventory<P>(gateway: &Gateway<P>, socket: &UdpSocket, told: StockTold)
+// Applies an inventory update from the lease holder, and relays it within the zone if requested.
+async fn apply_inventory<P>(gateway: &Gateway<P>, socket: &UdpSocket, update: StockTold)
 where
     P: Platform,
 {
     let now = gateway.now();
     let targets = {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
-        dispatcher.note_stock(now, &told);
-        told.relay.then(|| dispatcher.zone_peers(now))
+        dispatcher.note_stock(now, &update);
+        update.relay.then(|| dispatcher.zone_peers(now))
     };
     gateway.servers_changed.notify_waiters();
     let bytes = encode_inventory(StockTold {
         relay: false,
-        ..told
+        ..update
     });
     for target in targets.unwrap_or_default() {
         send(socket, &bytes, &target).await;
     }
 }
 
-fn encode_inventory(stock: StockTold) -> Vec<u8> {
+fn encode_inventory(update: StockTold) -> Vec<u8> {
     let datagram = Datagram {
-        stock: Some(stock),
+        stock: Some(update),
         ..Datagram::default()
     };
     datagram.encode_to_vec()
 }
 
-// A lost datagram is made good by the next one.
+// Failures are only logged, since the next datagram replaces a lost one.
 async fn send(socket: &UdpSocket, bytes: &[u8], target: &InstanceId) {
     if let Err(error) = socket.send_to(bytes, &**target).await {
-        log::debug!("no datagram to {target}: {error}");
+        log::debug!("failed to send a datagram to {target}: {error}");
     }
 }
 
@@ -179,13 +180,17 @@
         models: demand,
         ..heartbeat.clone()
     };
-    let (plain, urgent) = (encode(heartbeat), encode(with_demand));
+    let (plain_bytes, demand_bytes) = (encode(heartbeat), encode(with_demand));
     for target in targets {
         let is_holder = holder.as_ref().is_none_or(|holder| *holder == target);
         if recipients == Recipients::LeaseHolder && !is_holder {
             continue;
         }
-        let bytes = if is_holder { &urgent } else { &plain };
+        let bytes = if is_holder {
+            &demand_bytes
+        } else {
+            &plain_bytes
+        };
         send(socket, bytes, &target).await;
     }
 }
@@ -198,7 +203,7 @@
     datagram.encode_to_vec()
 }
 
-/// Takes the heartbeats, questions and answers of other instances.
+/// Receives and handles the datagrams of other instances.
 pub async fn receive<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>)
 where
     P: Platform,
@@ -210,14 +215,14 @@
             continue;
         };
         let Ok(datagram) = Datagram::decode(&buffer[..length]) else {
-            log::info!("a datagram that can't be read was dropped");
+            log::info!("dropped a datagram that can't be decoded");
             continue;
         };
         if let Some(heartbeat) = datagram.heartbeat {
             apply_heartbeat(&gateway, &heartbeat);
         }
-        if let Some(stock) = datagram.stock {
-            apply_inventory(&gateway, &socket, stock).await;
+        if let Some(update) = datagram.stock {
+            apply_inventory(&gateway, &socket, update).await;
         }
         if let Some(query) = datagram.query {
             let now = gateway.now();
@@ -226,9 +231,9 @@
                 answer,
                 ..Datagram::default()
             };
-            // Without an answer the other instance reads the store.
+            // Without a response, the other instance reads the store.
             if let Err(error) = socket.send_to(&datagram.encode_to_vec(), sender).await {
-                log::debug!("no answer to {sender}: {error}");
+                log::debug!("failed to send a response to {sender}: {error}");
             }
         }
         if let Some(answer) = datagram.answer {
--- a/crates/apricotwell_gateway/src/placement.rs
+++ b/crates/apricotwell_gateway/src/placement.rs
@@ -1,4 +1,4 @@
-//! The task of the lease holder: plans what servers hold and orders it.
+//! Placement task of the lease holder: plans which models servers load, and sends the orders.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::events::Event;
 use crate::gateway::Gateway;
 
-/// Pause between plans when nothing changes.
+/// Maximum interval between plans, applied when nothing changes.
 const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(200);
-/// Least pause between plans.
+/// Minimum interval between plans.
 const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Plans and orders while this instance holds the lease.
+/// Plans and sends orders while this instance holds the lease.
 pub async fn run<P>(gateway: Rc<Gateway<P>>)
 where
     P: Platform,
@@ -28,14 +28,15 @@
         tokio::time::sleep(MIN_PLAN_INTERVAL).await;
         let due = gateway.dispatcher.borrow().stock.next_due(gateway.now());
         let pause = due.map_or(MAX_PLAN_INTERVAL, |due| due.min(MAX_PLAN_INTERVAL));
-        // Without a change the plan is looked at again after the pause.
+        // Plans again after a change, or after the pause if there is none.
         let _ = tokio::time::timeout(pause, gateway.replan.notified()).await;
-        // What becomes due may change what servers hold.
+        // Timers of the planner that expired may have changed the inventory.
         gateway.inventory_changed.notify_one();
     }
 }
 
-// Lets a previous holder of the lease that lives on hear at once that it must stop.
+// Broadcasts a new fencing token at once, so that a previous lease holder that is still running
+// stops.
 fn announce_fence<P>(gateway: &Gateway<P>, announced: &mut Option<Fence>)
 where
     P: Platform,
@@ -58,7 +59,8 @@
     let now = gateway.now();
     let mut dispatcher = gateway.dispatcher.borrow_mut();
     let Some(fence) = dispatcher.lease.fence(now) else {
-        // What servers hold is asked anew when the lease opens: until then another orders them.
+        // Another instance may be sending orders, so the known inventory is discarded. Servers
+        // report it again once this instance holds the lease.
         dispatcher.stock.reset();
         return;
     };
@@ -72,6 +74,7 @@
     }
 }
 
+// Fetches a server's report and applies it to the planner.
 async fn fetch_report<P>(gateway: Rc<Gateway<P>>, server: ServerId)
 where
     P: Platform,
@@ -97,6 +100,7 @@
     gateway.inventory_changed.notify_one();
 }
 
+// Sends an order, unless the lease was lost since it was planned, and applies the reply.
 async fn send_order<P>(gateway: Rc<Gateway<P>>, order: Order, fence: Fence)
 where
     P: Platform,
@@ -104,10 +108,10 @@
     let target = {
         let dispatcher = gateway.dispatcher.borrow();
         let now = gateway.now();
-        let valid = dispatcher.lease.fence(now) == Some(fence);
+        let is_current = dispatcher.lease.fence(now) == Some(fence);
         let backend = dispatcher.backends.get(&order.server);
         backend
-            .filter(|_| valid)
+            .filter(|_| is_current)
             .map(|server| (server.entry.address, dispatcher.facts.id.clone()))
     };
     let reply = match target {
--- a/crates/apricotwell_gateway/src/pool.rs
+++ b/crates/apricotwell_gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to servers and to the store.
+//! HTTP connection pool for servers and the store.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -16,41 +16,41 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Time in which a connection must come about.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time after which bytes that the other end has not acknowledged end a connection.
+/// Time after which a connection with unacknowledged data is closed (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Silence after which the other end is asked whether it is still there.
+/// Idle time before the first keepalive probe.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(2);
-/// Pause between such questions.
+/// Interval between keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered questions that end a connection.
+/// Number of unacknowledged keepalive probes after which a connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// Idle time after which a connection is closed unless its server names a shorter one.
+/// Idle time after which a connection is closed, unless its server announces a shorter one.
 const MAX_IDLE: Duration = Duration::from_secs(8);
-/// Part of a server's idle timeout that is left unused, so that a request does not meet a connection
-/// that the server has just closed.
+/// Margin before a server's idle timeout in which a connection is no longer used, so that a request
+/// is not sent on a connection that the server is just closing.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections kept to one address.
+/// Limit on the idle connections to one address.
 const MAX_IDLE_CONNECTIONS: usize = 32;
-/// Bytes read ahead on one connection.
+/// Size limit of the read buffer of one connection.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Which connections a request may go out on.
+/// Idle connections that a request may be sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// On any idle one.
+    /// Any idle connection.
     Any,
-    /// On one that was in use within this time, so that it is hardly about to be closed.
+    /// Only connections used within this time, which the server is unlikely to be closing.
     Within(Duration),
 }
 
-/// Why a request has no answer.
+/// Error of a request without a response.
 #[derive(Debug)]
 pub enum SendError {
-    /// Nothing of it was sent.
+    /// No part of the request was sent.
     Unsent(String),
-    /// It was sent, in part at least.
+    /// The request was sent at least in part, but no response was received.
     Lost(String),
 }
 
@@ -58,7 +58,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unsent(text) => write!(f, "not sent: {text}; another server can be tried"),
-            Self::Lost(text) => write!(f, "no answer: {text}; the request may have run"),
+            Self::Lost(text) => write!(f, "no response: {text}; the request may have run"),
         }
     }
 }
@@ -67,27 +67,28 @@
 
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires: Instant,
 }
 
-/// Pool of connections that are not in use.
+/// Pool of idle connections, by address.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: RefCell<Map<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Returns an empty pool.
+    /// Creates an empty pool.
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
-    /// Sends a request and returns the answer's head with its body to come.
+    /// Sends a request and returns once the head of the response is received.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have reached the other end.
+    /// Returns [`SendError::Lost`] if the server may have received the request, else
+    /// [`SendError::Unsent`].
     pub async fn send(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -95,9 +96,9 @@
         reuse: Reuse,
     ) -> Result<StreamingResponse, SendError> {
         let mut request = request;
-        while let Some(mut sender) = self.take(address, reuse) {
+        while let Some(mut sender) = self.take_idle(address, reuse) {
             match sender.try_send_request(request).await {
-                Ok(answer) => return Ok(self.answer(address, sender, answer)),
+                Ok(response) => return Ok(self.streaming_response(address, sender, response)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(SendError::Lost(error.into_error().to_string())),
@@ -106,7 +107,7 @@
         }
         let mut sender = connect(address).await?;
         match sender.try_send_request(request).await {
-            Ok(answer) => Ok(self.answer(address, sender, answer)),
+            Ok(response) => Ok(self.streaming_response(address, sender, response)),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 let text = error.into_error().to_string();
@@ -119,66 +120,67 @@
         }
     }
 
-    /// Closes all idle connections to an address: one has fallen silent, and whatever silenced it may
-    /// have silenced the others too.
+    /// Closes all idle connections to an address.
+    ///
+    /// To be called after a timeout on one connection, since its cause may affect the others too.
     pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes idle connections that have expired or that the server has closed.
     pub fn expire(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| now < idle.until && !idle.sender.is_closed());
+            connections.retain(|idle| now < idle.expires && !idle.sender.is_closed());
             !connections.is_empty()
         });
     }
 
-    fn take(&self, address: SocketAddr, reuse: Reuse) -> Option<SendRequest<Full<Bytes>>> {
+    fn take_idle(&self, address: SocketAddr, reuse: Reuse) -> Option<SendRequest<Full<Bytes>>> {
         let now = Instant::now();
         let mut connections = self.idle.borrow_mut();
-        let stack = connections.get_mut(&address)?;
-        while let Some(idle) = stack.pop() {
+        let idle_connections = connections.get_mut(&address)?;
+        while let Some(idle) = idle_connections.pop() {
             let recent = match reuse {
                 Reuse::Any => true,
-                Reuse::Within(time) => now.saturating_duration_since(idle.since) < time,
+                Reuse::Within(time) => now.saturating_duration_since(idle.idle_since) < time,
             };
-            if recent && now < idle.until && idle.sender.is_ready() {
+            if recent && now < idle.expires && idle.sender.is_ready() {
                 return Some(idle.sender);
             }
         }
         None
     }
 
-    fn put(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>, keep: Duration) {
+    fn put(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>, keep_alive: Duration) {
         let now = Instant::now();
         let mut connections = self.idle.borrow_mut();
-        let stack = connections.entry(address).or_default();
-        if stack.len() < MAX_IDLE_CONNECTIONS {
-            stack.push(IdleConnection {
+        let idle_connections = connections.entry(address).or_default();
+        if idle_connections.len() < MAX_IDLE_CONNECTIONS {
+            idle_connections.push(IdleConnection {
                 sender,
-                since: now,
-                until: now + keep,
+                idle_since: now,
+                expires: now + keep_alive,
             });
         }
     }
 
-    fn answer(
+    fn streaming_response(
         self: &Rc<Self>,
         address: SocketAddr,
         sender: SendRequest<Full<Bytes>>,
-        answer: http::Response<Incoming>,
+        response: http::Response<Incoming>,
     ) -> StreamingResponse {
-        let (head, body) = answer.into_parts();
-        let keep = keep_alive_time(&head.headers);
+        let (head, body) = response.into_parts();
+        let keep_alive = keep_alive_time(&head.headers);
         StreamingResponse {
             head,
             body,
-            connection: keep.map(|keep| Connection {
+            connection: keep_alive.map(|keep_alive| Connection {
                 pool: Rc::clone(self),
                 address,
                 sender,
-                keep,
+                keep_alive,
             }),
         }
     }
@@ -188,24 +190,24 @@
     pool: Rc<ConnectionPool>,
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    keep: Duration,
+    keep_alive: Duration,
 }
 
-/// Answer whose body is still to come; dropping it before its end closes the connection.
+/// Response whose body is still being received; dropping it before its end closes the connection.
 pub struct StreamingResponse {
-    /// Head.
+    /// Status and headers.
     pub head: response::Parts,
     body: Incoming,
-    // Taken when the body has ended; a connection that is to be closed has none.
+    // Returned to the pool at the end of the body; `None` if the connection must not be reused.
     connection: Option<Connection>,
 }
 
 impl StreamingResponse {
-    /// Returns the next bytes of the body, `None` at its end.
+    /// Returns the next chunk of the body, or `None` at its end.
     ///
     /// # Errors
     ///
-    /// Fails when the body breaks off.
+    /// Fails if the connection ends within the body.
     pub async fn next(&mut self) -> Option<Result<Bytes, hyper::Error>> {
         loop {
             match self.body.frame().await {
@@ -229,21 +231,22 @@
         }
     }
 
-    /// Reads the whole body, of `limit` bytes at most.
+    /// Reads the whole body.
     ///
     /// # Errors
     ///
-    /// Says why the body is not whole.
+    /// Returns a description of the failure if the connection ends within the body or if the body
+    /// is larger than `limit` bytes.
     pub async fn collect(mut self, limit: usize) -> Result<(response::Parts, Bytes), String> {
-        let mut whole = Vec::new();
-        while let Some(part) = self.next().await {
-            let part = part.map_err(|error| error.to_string())?;
-            if whole.len() + part.len() > limit {
+        let mut body = Vec::new();
+        while let Some(chunk) = self.next().await {
+            let chunk = chunk.map_err(|error| error.to_string())?;
+            if body.len() + chunk.len() > limit {
                 return Err(format!("the body is larger than {limit} bytes"));
             }
-            whole.extend_from_slice(&part);
+            body.extend_from_slice(&chunk);
         }
-        Ok((self.head, whole.into()))
+        Ok((self.head, body.into()))
     }
 
     fn release(&mut self) {
@@ -252,9 +255,9 @@
                 pool,
                 address,
                 sender,
-                keep,
+                keep_alive,
             } = connection;
-            pool.put(address, sender, keep);
+            pool.put(address, sender, keep_alive);
         }
     }
 }
@@ -262,7 +265,7 @@
 async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, SendError> {
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|_| SendError::Unsent("no connection in time".to_owned()))?
+        .map_err(|_| SendError::Unsent("connection timed out".to_owned()))?
         .map_err(unsent)?;
     configure_socket(&stream).map_err(unsent)?;
     let (sender, connection) = http1::Builder::new()
@@ -285,11 +288,12 @@
     SendError::Unsent(error.to_string())
 }
 
-/// Lets a connection end when its other end has silently gone.
+/// Sets the TCP options that close a connection whose peer disappeared, and disables Nagle's
+/// algorithm.
 ///
 /// # Errors
 ///
-/// Fails when the socket takes no such options.
+/// Fails if the socket does not support the options.
 pub fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -301,7 +305,8 @@
     socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
 
-// How long a connection may be kept after this answer, `None` if it must not be.
+// Returns how long a connection may stay idle after this response, or `None` if it must not be
+// reused.
 fn keep_alive_time(headers: &HeaderMap) -> Option<Duration> {
     let closes = headers
         .get_all(http::header::CONNECTION)
@@ -317,8 +322,8 @@
     let Some(value) = headers.get("keep-alive") else {
         return Some(MAX_IDLE);
     };
-    let seconds = value.to_str().ok()?.split(',').find_map(|part| {
-        let (name, value) = part.split_once('=')?;
+    let seconds = value.to_str().ok()?.split(',').find_map(|parameter| {
+        let (name, value) = parameter.split_once('=')?;
         name.trim()
             .eq_ignore_ascii_case("timeout")
             .then(|| value.trim().parse::<u64>().ok())?
--- a/crates/apricotwell_gateway/src/relay.rs
+++ b/crates/apricotwell_gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Streams of events from servers to callers.
+//! Relay of event streams from servers to clients.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 use crate::handler::RequestHandler;
 use crate::pool::StreamingResponse;
 
-/// Silence after which a stream that can go on elsewhere is taken from its server.
+/// Time without data after which a resumable stream is moved to another server.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Why a stream broke off.
+/// Error that ends a stream early.
 #[derive(Debug)]
 pub enum RelayError {
-    /// The server's answer broke off.
+    /// The server's response failed, and the stream could not be resumed.
     Broken(String),
-    /// The deadline passed.
+    /// The request's deadline passed.
     Deadline,
 }
 
 impl fmt::Display for RelayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Broken(reason) => write!(f, "the server's stream broke off: {reason}"),
+            Self::Broken(reason) => write!(f, "the server's stream failed: {reason}"),
             Self::Deadline => f.write_str("the deadline passed during the stream"),
         }
     }
@@ -35,15 +35,15 @@
 
 impl std::error::Error for RelayError {}
 
-/// Stream of one answer.
+/// Relay of one response stream; resumes it on another server if possible.
 pub struct Relay<P>
 where
     P: Platform,
 {
     handler: RequestHandler<P>,
-    answer: Option<(Box<StreamingResponse>, FlightGuard<P>)>,
-    // Bytes of an event that is not whole yet; kept only where the stream can be resumed.
-    partial: BytesMut,
+    response: Option<(Box<StreamingResponse>, FlightGuard<P>)>,
+    // Bytes of an event that is not yet complete; always empty if the stream can't be resumed.
+    incomplete_event: BytesMut,
     last_event: Option<u64>,
     status: u16,
     ended: bool,
@@ -53,27 +53,27 @@
 where
     P: Platform,
 {
-    /// Returns the relay of an answer whose head has come.
+    /// Creates the relay of a response whose head was received.
     pub fn new(
         handler: RequestHandler<P>,
-        answer: Box<StreamingResponse>,
+        response: Box<StreamingResponse>,
         flight: FlightGuard<P>,
     ) -> Self {
         Self {
             last_event: handler.call.last_event,
-            status: answer.head.status.as_u16(),
+            status: response.head.status.as_u16(),
             handler,
-            answer: Some((answer, flight)),
-            partial: BytesMut::new(),
+            response: Some((response, flight)),
+            incomplete_event: BytesMut::new(),
             ended: false,
         }
     }
 
-    /// Returns the frames for the caller.
+    /// Returns the stream of frames for the client.
     pub fn into_frames(self) -> impl Stream<Item = Result<Frame<Bytes>, RelayError>> {
         futures_util::stream::unfold(self, |mut relay| async move {
-            let part = relay.next().await?;
-            Some((part.map(Frame::data), relay))
+            let chunk = relay.next().await?;
+            Some((chunk.map(Frame::data), relay))
         })
     }
 
@@ -82,28 +82,28 @@
             return None;
         }
         loop {
-            let (answer, flight) = self.answer.as_mut()?;
-            let limit = self.handler.remaining();
+            let (response, flight) = self.response.as_mut()?;
+            let remaining = self.handler.remaining();
             let resumable = self.handler.admission.route.kind.is_repeatable();
             let wait = if resumable {
-                limit.min(STALL_TIMEOUT)
+                remaining.min(STALL_TIMEOUT)
             } else {
-                limit
+                remaining
             };
-            let reason = match tokio::time::timeout(wait, answer.next()).await {
-                Err(_) if limit <= wait => return self.fail(RelayError::Deadline),
-                // Silence alone is no reason to give up the only server that can go on.
+            let reason = match tokio::time::timeout(wait, response.next()).await {
+                Err(_) if remaining <= wait => return self.fail(RelayError::Deadline),
+                // A stalled server is kept while no other one can resume the stream.
                 Err(_) if !self.handler.has_other_server(&flight.server) => continue,
                 Err(_) => "no event in time".to_owned(),
                 Ok(Some(Err(error))) => error.to_string(),
-                Ok(Some(Ok(bytes))) => match self.take_whole(bytes, resumable) {
-                    Some(whole) => {
+                Ok(Some(Ok(bytes))) => match self.take_complete_events(bytes, resumable) {
+                    Some(events) => {
                         self.handler.record_bytes();
-                        return Some(Ok(whole));
+                        return Some(Ok(events));
                     }
                     None => continue,
                 },
-                Ok(None) if self.partial.is_empty() => return self.finish(),
+                Ok(None) if self.incomplete_event.is_empty() => return self.finish(),
                 Ok(None) => "the stream ended within an event".to_owned(),
             };
             if !resumable || !self.resume(&reason).await {
@@ -112,25 +112,28 @@
         }
     }
 
-    // Returns the events that are whole, all bytes where the stream can't be resumed.
-    fn take_whole(&mut self, bytes: Bytes, resumable: bool) -> Option<Bytes> {
+    // Returns the complete events received so far; returns all bytes if the stream can't be
+    // resumed.
+    fn take_complete_events(&mut self, bytes: Bytes, resumable: bool) -> Option<Bytes> {
         if !resumable {
             return Some(bytes);
         }
-        self.partial.extend_from_slice(&bytes);
-        let end = memchr::memmem::rfind(&self.partial, b"\n\n")? + 2;
-        let whole = self.partial.split_to(end).freeze();
-        self.last_event = last_event_id(&whole).or(self.last_event);
-        Some(whole)
+        self.incomplete_event.extend_from_slice(&bytes);
+        let end = memchr::memmem::rfind(&self.incomplete_event, b"\n\n")? + 2;
+        let events = self.incomplete_event.split_to(end).freeze();
+        self.last_event = last_event_id(&events).or(self.last_event);
+        Some(events)
     }
 
+    // Resumes the stream on another server after the last complete event; returns whether it
+    // succeeded.
     async fn resume(&mut self, reason: &str) -> bool {
-        let Some((answer, flight)) = self.answer.take() else {
+        let Some((response, flight)) = self.response.take() else {
             return false;
         };
-        drop(answer);
+        drop(response);
         flight.record_outcome(true);
-        self.partial.clear();
+        self.incomplete_event.clear();
         self.handler.exclude(&flight.server);
         drop(flight);
         if !self.handler.acquire_retry() {
@@ -139,14 +142,14 @@
         self.handler.reset_wait_deadline();
         let resumed = self.handler.first_response(self.last_event).await;
         match resumed {
-            Ok((answer, flight)) if answer.head.status.as_u16() == self.status => {
+            Ok((response, flight)) if response.head.status.as_u16() == self.status => {
                 crate::events::Event::new("stream_resumed")
                     .with("request", self.handler.call.attempt.as_str())
                     .with("server", &*flight.server)
                     .with("after_event", self.last_event)
                     .with("reason", reason)
                     .log();
-                self.answer = Some((answer, flight));
+                self.response = Some((response, flight));
                 true
             }
             Ok(_) => false,
@@ -163,7 +166,7 @@
 
     fn finish(&mut self) -> Option<Result<Bytes, RelayError>> {
         self.ended = true;
-        let (_, flight) = self.answer.take()?;
+        let (_, flight) = self.response.take()?;
         flight.record_outcome(self.status >= 500);
         self.handler
             .log_end("answered", Some(&flight.server), self.status);
@@ -172,7 +175,7 @@
 
     fn fail(&mut self, error: RelayError) -> Option<Result<Bytes, RelayError>> {
         self.ended = true;
-        let flight = self.answer.take().map(|(_, flight)| flight);
+        let flight = self.response.take().map(|(_, flight)| flight);
         if let Some(flight) = &flight {
             flight.record_outcome(true);
         }
@@ -182,7 +185,7 @@
     }
 }
 
-/// Returns the id of the last event in `events`.
+/// Returns the id of the last event in `events` that has one.
 fn last_event_id(events: &[u8]) -> Option<u64> {
     let mut lines = events.rsplit(|byte| *byte == b'\n');
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/apricotwell_gateway/src/requests.rs
+++ b/crates/apricotwell_gateway/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of callers from the first byte to the last.
+//! Client requests: admission, and responses to the client.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -21,14 +21,15 @@
 use crate::pool::StreamingResponse;
 use crate::relay::{Relay, RelayError};
 
-/// Bytes of a plain answer that are held in memory.
+/// Size limit of a non-streaming response, which is buffered in memory.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Time in which a request's body must come, unless its deadline is shorter.
+/// Time limit for receiving a request body, unless the request's deadline is shorter.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time after a request to stop from which further requests are sent elsewhere: none that is taken
-/// later could be sure to end within the grace.
+/// Time after a request to stop during which requests are still admitted. A request admitted later
+/// might not finish within the grace period.
 const ADMISSION_AFTER_STOP: Duration = Duration::from_millis(3500);
 
+/// Response to a client: buffered or streamed.
 enum ClientResponse<P>
 where
     P: Platform,
@@ -37,11 +38,12 @@
     Stream(Response<()>, Box<Relay<P>>),
 }
 
-/// Serves one request; never fails, so that the connection's end is the answer's.
+/// Serves one client request.
 ///
 /// # Errors
 ///
-/// None.
+/// Never fails: failures become responses. The body of a streamed response can still fail, which
+/// closes the connection.
 pub async fn serve<P>(
     gateway: Rc<Gateway<P>>,
     request: Request<Incoming>,
@@ -52,14 +54,14 @@
 where
     P: Platform,
 {
-    let closing = gateway.stop_requested.get().is_some();
-    let mut response = match answer(&gateway, request).await {
+    let was_stopping = gateway.stop_requested.get().is_some();
+    let mut response = match respond(&gateway, request).await {
         ClientResponse::Complete(response) => response.map(|body| Either::Left(Full::new(body))),
         ClientResponse::Stream(response, relay) => {
             response.map(|()| Either::Right(StreamBody::new(relay.into_frames())))
         }
     };
-    if closing || gateway.stop_requested.get().is_some() {
+    if was_stopping || gateway.stop_requested.get().is_some() {
         let close = http::HeaderValue::from_static("close");
         response
             .headers_mut()
@@ -68,18 +70,19 @@
     Ok(response)
 }
 
-async fn answer<P>(gateway: &Rc<Gateway<P>>, request: Request<Incoming>) -> ClientResponse<P>
+async fn respond<P>(gateway: &Rc<Gateway<P>>, request: Request<Incoming>) -> ClientResponse<P>
 where
     P: Platform,
 {
     let (head, body) = request.into_parts();
-    match take(gateway, head, body).await {
-        Ok(handler) => run(handler).await,
+    match admit_request(gateway, head, body).await {
+        Ok(handler) => run_attempts(handler).await,
         Err(refusal) => ClientResponse::Complete(P::ClientProtocol::encode_refusal(&refusal)),
     }
 }
 
-async fn take<P>(
+// Decodes and admits a request.
+async fn admit_request<P>(
     gateway: &Rc<Gateway<P>>,
     head: request::Parts,
     body: Incoming,
@@ -88,20 +91,20 @@
     P: Platform,
 {
     let call = P::ClientProtocol::decode_call(&head)?;
-    let taken = admit(gateway, &head, body, &call).await;
-    if let Err(refusal) = &taken {
+    let admitted = read_and_admit(gateway, &head, body, &call).await;
+    if let Err(refusal) = &admitted {
         log_refusal(gateway, &call, refusal);
     }
-    let (body, admission) = taken?;
+    let (body, admission) = admitted?;
     Ok(RequestHandler::new(gateway, head, body, call, admission))
 }
 
-async fn admit<P>(
+async fn read_and_admit<P>(
     gateway: &Rc<Gateway<P>>,
     head: &request::Parts,
     body: Incoming,
     call: &Call,
-) -> Result<(HeldBody, Admission), Refusal>
+) -> Result<(BufferedBody, Admission), Refusal>
 where
     P: Platform,
 {
@@ -109,7 +112,7 @@
         .time_since_stop()
         .is_some_and(|time| time > ADMISSION_AFTER_STOP)
     {
-        let text = "this instance stops; use another one";
+        let text = "this instance is shutting down; use another one";
         return Err(
             Refusal::not_run(RefusalKind::Unavailable, text).with_retry_after(Duration::ZERO)
         );
@@ -136,11 +139,11 @@
     })
 }
 
-/// Body of a request with its share of the bytes that all bodies may take.
-pub struct HeldBody {
-    /// Body.
+/// Request body in memory, with its reservation of the body budget.
+pub struct BufferedBody {
+    /// Content of the body.
     pub bytes: Bytes,
-    _share: Reservation,
+    _reservation: Reservation,
 }
 
 async fn read_body(
@@ -149,105 +152,119 @@
     limit: usize,
     budget: &Budget,
     deadline: Option<Duration>,
-) -> Result<HeldBody, Refusal> {
-    let announced = head
+) -> Result<BufferedBody, Refusal> {
+    let content_length = head
         .headers
         .get(http::header::CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
-    if announced.is_some_and(|announced| announced > limit) {
+    if content_length.is_some_and(|content_length| content_length > limit) {
         return Err(too_large());
     }
-    let wait = deadline.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
-    let collected = tokio::time::timeout(wait, collect(body, limit, budget)).await;
+    let time_limit = deadline.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
+    let collected = tokio::time::timeout(time_limit, collect(body, limit, budget)).await;
     collected.unwrap_or_else(|_| {
-        let text = "the body did not come in time";
+        let text = "the request body was not received in time";
         Err(Refusal::not_run(RefusalKind::TooSlow, text))
     })
 }
 
-async fn collect(mut body: Incoming, limit: usize, budget: &Budget) -> Result<HeldBody, Refusal> {
-    let Some(mut share) = budget.try_reserve(0) else {
-        return Err(too_many_bytes());
+async fn collect(
+    mut body: Incoming,
+    limit: usize,
+    budget: &Budget,
+) -> Result<BufferedBody, Refusal> {
+    let Some(mut reservation) = budget.try_reserve(0) else {
+        return Err(body_budget_exhausted());
     };
-    let mut whole = Vec::new();
+    let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
-            let text = format!("the body is not whole: {error}");
+            let text = format!("the request body is incomplete: {error}");
             Refusal::not_run(RefusalKind::BadRequest, text)
         })?;
-        // Trailers concern the connection only.
+        // Trailers are not forwarded.
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limit {
+        if bytes.len() + data.len() > limit {
             return Err(too_large());
         }
-        if !share.grow(data.len()) {
-            return Err(too_many_bytes());
+        if !reservation.grow(data.len()) {
+            return Err(body_budget_exhausted());
         }
-        whole.extend_from_slice(&data);
+        bytes.extend_from_slice(&data);
     }
-    Ok(HeldBody {
-        bytes: whole.into(),
-        _share: share,
+    Ok(BufferedBody {
+        bytes: bytes.into(),
+        _reservation: reservation,
     })
 }
 
 fn too_large() -> Refusal {
-    Refusal::not_run(RefusalKind::TooLarge, "the body is over the limit")
+    Refusal::not_run(
+        RefusalKind::TooLarge,
+        "the request body is larger than the limit",
+    )
 }
 
-fn too_many_bytes() -> Refusal {
-    let text = "the bodies of all requests take too much memory; come back later";
+fn body_budget_exhausted() -> Refusal {
+    let text = "the request bodies being received use too much memory; retry later";
     Refusal::not_run(RefusalKind::Overloaded, text).with_retry_after(Duration::from_millis(500))
 }
 
-async fn run<P>(mut handler: RequestHandler<P>) -> ClientResponse<P>
+async fn run_attempts<P>(mut handler: RequestHandler<P>) -> ClientResponse<P>
 where
     P: Platform,
 {
     let last_event = handler.call.last_event;
     loop {
-        let (answer, flight) = match handler.first_response(last_event).await {
-            Ok(found) => found,
-            Err(refusal) => return refused(&handler, &refusal),
+        let (server_response, flight) = match handler.first_response(last_event).await {
+            Ok(received) => received,
+            Err(refusal) => return refuse(&handler, &refusal),
         };
-        if handler.admission.route.kind.is_stream() && answer.head.status.is_success() {
-            return stream(handler, answer, flight);
+        if handler.admission.route.kind.is_stream() && server_response.head.status.is_success() {
+            return stream_response(handler, server_response, flight);
         }
-        match complete_response(&mut handler, answer, flight).await {
+        match complete_response(&mut handler, server_response, flight).await {
             Ok(response) => return ClientResponse::Complete(response),
-            Err(Some(refusal)) => return refused(&handler, &refusal),
+            Err(Some(refusal)) => return refuse(&handler, &refusal),
             Err(None) => {}
         }
     }
 }
 
-fn stream<P>(
+fn stream_response<P>(
     handler: RequestHandler<P>,
-    answer: Box<StreamingResponse>,
+    server_response: Box<StreamingResponse>,
     flight: FlightGuard<P>,
 ) -> ClientResponse<P>
 where
     P: Platform,
 {
     let mut response = Response::new(());
-    *response.status_mut() = answer.head.status;
-    *response.headers_mut() = P::ClientProtocol::relay_headers(&answer.head.headers);
+    *response.status_mut() = server_response.head.status;
+    *response.headers_mut() = P::ClientProtocol::relay_headers(&server_response.head.headers);
     response.headers_mut().remove(http::header::CONTENT_LENGTH);
-    ClientResponse::Stream(response, Box::new(Relay::new(handler, answer, flight)))
+    ClientResponse::Stream(
+        response,
+        Box::new(Relay::new(handler, server_response, flight)),
+    )
 }
 
-// Returns the whole answer, a refusal, or nothing when another attempt is allowed.
+// Collects a response and returns it for the client. The error is the refusal to send, or `None` if
+// another attempt is allowed.
 async fn complete_response<P>(
     handler: &mut RequestHandler<P>,
-    answer: Box<StreamingResponse>,
+    server_response: Box<StreamingResponse>,
     flight: FlightGuard<P>,
 ) -> Result<Response<Bytes>, Option<Refusal>>
 where
     P: Platform,
 {
-    let collected = tokio::time::timeout(handler.remaining(), answer.collect(MAX_RESPONSE_BYTES));
+    let collected = tokio::time::timeout(
+        handler.remaining(),
+        server_response.collect(MAX_RESPONSE_BYTES),
+    );
     let reason = match collected.await {
         Ok(Ok((head, body))) => {
             let failed = head.status.is_server_error();
@@ -262,7 +279,7 @@
             return Ok(response);
         }
         Ok(Err(reason)) => reason,
-        Err(_) => "the deadline passed during the answer".to_owned(),
+        Err(_) => "the deadline passed during the response".to_owned(),
     };
     flight.record_outcome(true);
     handler.exclude(&flight.server);
@@ -279,7 +296,8 @@
     Err(Some(Refusal::not_run(kind, reason).with_ending(ending)))
 }
 
-fn refused<P>(handler: &RequestHandler<P>, refusal: &Refusal) -> ClientResponse<P>
+// Ends a request with a refusal; refunds its tokens if no server ran it.
+fn refuse<P>(handler: &RequestHandler<P>, refusal: &Refusal) -> ClientResponse<P>
 where
     P: Platform,
 {
@@ -300,16 +318,16 @@
     let dispatcher = gateway.dispatcher.borrow();
     let now = gateway.now();
     gateway.metrics.count_request(refusal.kind.code());
-    let wanted = call.wanted.as_ref();
+    let requested = call.wanted.as_ref();
     Event::new("request_refused")
         .with("request", call.attempt.as_str())
         .with("reason", refusal.kind.code())
         .with("ending", refusal.ending.as_str())
         .with("message", refusal.message.as_str())
-        .with("model", wanted.map_or("", |wanted| &*wanted.model))
+        .with("model", requested.map_or("", |requested| &*requested.model))
         .with(
             "config",
-            dispatcher.catalog.as_ref().map(|known| known.version),
+            dispatcher.catalog.as_ref().map(|catalog| catalog.version),
         )
         .with(
             "view_age_ms",
--- a/crates/apricotwell_gateway/tests/feed_queries.rs
+++ b/crates/apricotwell_gateway/tests/feed_queries.rs
@@ -48,17 +48,18 @@
         let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let earlier = FeedQueries::new(1_700_000_000_000);
-        let (told, old) = tokio::join!(query(&earlier, &socket, &peer), next_query_number(&peer));
-        assert!(told.is_none());
+        let (changes, late_number) =
+            tokio::join!(query(&earlier, &socket, &peer), next_query_number(&peer));
+        assert!(changes.is_none());
         let _ = next_query_number(&peer).await;
         // The process restarts and sends a query before the late response arrives.
         let queries = FeedQueries::new(1_700_000_000_200);
         let late = async {
             next_query_number(&peer).await;
-            queries.deliver(response(old));
+            queries.deliver(response(late_number));
         };
-        let (told, ()) = tokio::join!(query(&queries, &socket, &peer), late);
-        assert!(told.is_none(), "{told:?}");
+        let (changes, ()) = tokio::join!(query(&queries, &socket, &peer), late);
+        assert!(changes.is_none(), "{changes:?}");
     });
 }
 
@@ -75,8 +76,8 @@
             queries.deliver(response(number));
             received
         };
-        let (told, received) = tokio::join!(query(&queries, &socket, &peer), reply);
-        let current = told.unwrap().current.unwrap();
+        let (changes, received) = tokio::join!(query(&queries, &socket, &peer), reply);
+        let current = changes.unwrap().current.unwrap();
         assert!(current + Duration::from_millis(100) <= received);
     });
 }
