--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -108,7 +108,7 @@
             Self::Unknown(text) => {
                 write!(
                     f,
-                    "no valid response from the store: {text}; the call may have run, so read before writing"
+                    "no valid response from the store: {text}; read before writing"
                 )
             }
             Self::Truncated => f.write_str("the records were deleted; start from the newest ones"),
