--- a/crates/apricotwell_dispatch/src/placement/adapters.rs
+++ b/crates/apricotwell_dispatch/src/placement/adapters.rs
@@ -1,19 +1,20 @@
-//! Which adapters servers hold.
+//! Placement of adapters.
 
 use super::plan::{Plan, free_memory};
 use super::{PlacementPlanner, UNLOAD_TIME};
 use crate::model::{AdapterName, ModelName};
 use crate::orders::{Operation, ServerOrders};
 
-/// Adapters on their way from the weight store at once, over all servers.
+/// Maximum number of adapters that one plan loads for a service; limits concurrent reads from the
+/// weight store.
 const PARALLEL_ADAPTERS: usize = 16;
 
 impl PlacementPlanner {
-    /// Loads adapters that requests wait for.
+    /// Loads adapters that requests wait for, or unloads others to free adapter slots for them.
     pub(super) fn plan_adapters(&mut self, plan: &mut Plan<'_>) {
-        let mut wanted = plan.demand.waiting_adapters();
-        wanted.truncate(PARALLEL_ADAPTERS);
-        for (model, adapter) in wanted {
+        let mut waiting = plan.demand.waiting_adapters();
+        waiting.truncate(PARALLEL_ADAPTERS);
+        for (model, adapter) in waiting {
             self.plan_adapter(plan, &model, &adapter);
         }
     }
@@ -22,8 +23,8 @@
         let held = plan.backends.keys().any(|id| {
             let server = self.servers.get(id);
             server
-                .and_then(ServerOrders::holdings)
-                .and_then(|holdings| holdings.adapters(model))
+                .and_then(ServerOrders::inventory)
+                .and_then(|inventory| inventory.adapters(model))
                 .is_some_and(|adapters| adapters.contains(adapter))
         });
         if held {
@@ -32,6 +33,7 @@
         let Some(spec) = plan.engine.model(model) else {
             return;
         };
+        // The adapters of a model are named `a1`, `a2` and so on.
         let number = adapter.strip_prefix('a').and_then(|n| n.parse().ok());
         if number.is_none_or(|number: u32| number == 0 || number > spec.adapters) {
             return;
@@ -41,11 +43,11 @@
             .iter()
             .filter(|(id, _)| self.can_order(plan, id))
             .filter_map(|(id, backend)| {
-                let holdings = self.servers.get(id)?.holdings()?;
-                holdings.adapters(model)?;
-                let full = holdings.adapter_count() >= plan.engine.adapter_slots
-                    || free_memory(plan.engine, holdings) < spec.adapter_weights;
-                Some((full, holdings.adapter_count(), backend.in_flight(), id))
+                let inventory = self.servers.get(id)?.inventory()?;
+                inventory.adapters(model)?;
+                let full = inventory.adapter_count() >= plan.engine.adapter_slots
+                    || free_memory(plan.engine, inventory) < spec.adapter_mb;
+                Some((full, inventory.adapter_count(), backend.in_flight(), id))
             })
             .min();
         let Some((full, _, _, id)) = best else {
@@ -62,13 +64,14 @@
         }
     }
 
+    // Returns the order to unload the least requested adapter, `None` while an unload is pending.
     fn coldest_adapter(&self, plan: &Plan<'_>, id: &str) -> Option<Operation> {
         let server = self.servers.get(id)?;
         if server.unloading_adapters() > 0 {
             return None;
         }
-        let holdings = server.holdings()?;
-        let rated = holdings.models.iter().flat_map(|(model, adapters)| {
+        let inventory = server.inventory()?;
+        let rated = inventory.models.iter().flat_map(|(model, adapters)| {
             let demand = plan.demand.get(model);
             let staying = adapters
                 .iter()
--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -57,18 +57,18 @@
     /// # Errors
     ///
     /// Returns the refusal to send to the client.
-    fn decode_call(head: &request::Parts) -> Result<Call, Refusal>;
+    fn decode_call(head: &request::Parts) -> Result<RequestHead, Refusal>;
 
     /// Encodes the request to send to a server.
     fn encode_attempt(
         head: &request::Parts,
-        call: &Call,
+        call: &RequestHead,
         attempt: &Attempt<'_>,
         body: Bytes,
     ) -> Request<http_body_util::Full<Bytes>>;
 
     /// Decodes the head of a server's response to `call`.
-    fn decode_response(head: &response::Parts, call: &Call) -> ResponseHead;
+    fn decode_response(head: &response::Parts, call: &RequestHead) -> ResponseHead;
 
     /// Returns the headers of a server's response that are forwarded to the client.
     fn relay_headers(headers: &HeaderMap) -> HeaderMap;
@@ -125,7 +125,7 @@
     /// Configuration.
     Catalog(Box<Catalog>),
     /// Entry of a server in the server list.
-    Entry(Entry),
+    Entry(BackendEntry),
     /// Removal of a server from the server list.
     Removed(ServerId),
     /// Record that can't be decoded; it is logged and otherwise ignored.
--- a/crates/apricotwell_gateway/src/daemon.rs
+++ b/crates/apricotwell_gateway/src/daemon.rs
@@ -212,7 +212,7 @@
         });
     }
     if P::ClientProtocol::is_lookup(&head) {
-        let addresses = dispatcher.look_up(now);
+        let addresses = dispatcher.client_addresses(now);
         if addresses.is_empty() {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -255,8 +255,8 @@
     let mut event = Event::new("status")
         .with("ready", dispatcher.is_ready(now))
         .with("active", gateway.active_requests.get())
-        .with("heard", dispatcher.peers.heard(now))
-        .with("possible", dispatcher.peers.possible())
+        .with("heard", dispatcher.peers.reporting_count(now))
+        .with("possible", dispatcher.peers.possible_count())
         .with("fence", dispatcher.lease.fence(now));
     for (kind, calls) in gateway.metrics.store_calls() {
         event = event.with(&format!("store_{kind}"), calls);
@@ -293,7 +293,7 @@
     Event::new("stopping")
         .with("active", gateway.active_requests.get())
         .log();
-    gateway.dispatcher.borrow_mut().leave();
+    gateway.dispatcher.borrow_mut().start_draining();
     gateway.heartbeat_due.notify_one();
     let begun = Instant::now();
     let leaving = Rc::clone(gateway);
--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::feeds::Told;
+use apricotwell_dispatch::feeds::FeedUpdate;
 use apricotwell_dispatch::prelude::*;
 use apricotwell_types::{InstanceId, Offset};
 use tokio::net::UdpSocket;
@@ -44,7 +44,7 @@
         socket,
         feed,
         next: None,
-        source: Source::Store,
+        source: FeedSource::Store,
         failing_since: None,
         failures: 0,
         outage_end: None,
@@ -65,7 +65,7 @@
     // Offset from which to read; `None` until the newest records have been read.
     next: Option<Offset>,
     // Source of the last step.
-    source: Source,
+    source: FeedSource,
     failing_since: Option<Instant>,
     // Number of consecutive failed store calls.
     failures: u32,
@@ -85,15 +85,17 @@
         let source = self.gateway.dispatcher.borrow().feed_source(now);
         self.set_source(&source);
         match (source, self.feed) {
-            (Source::Peer(peer), _) => match self.query_peer(&peer, from).await {
+            (FeedSource::Peer(peer), _) => match self.query_peer(&peer, from).await {
                 Some(pause) => pause,
                 None => self
                     .read_store(Duration::ZERO)
                     .await
                     .max(PEER_QUERY_INTERVAL),
             },
-            (Source::Store, Feed::Configuration) => self.read_store(CONFIGURATION_READ_WAIT).await,
-            (Source::Store, Feed::Servers) => self.read_store(Duration::ZERO).await,
+            (FeedSource::Store, Feed::Configuration) => {
+                self.read_store(CONFIGURATION_READ_WAIT).await
+            }
+            (FeedSource::Store, Feed::Servers) => self.read_store(Duration::ZERO).await,
         }
     }
 
@@ -106,25 +108,25 @@
             .gateway
             .feed_queries
             .query(&self.socket, peer, feed_position, clock);
-        let Told {
+        let FeedUpdate {
             changes,
             next,
-            current,
+            confirmed_at,
         } = response.await?;
         let records = changes.into_iter().map(|change| match change {
-            ListChange::Entry(entry) => FeedRecord::Entry(entry),
-            ListChange::Removed(id) => FeedRecord::Removed(id),
+            ServerListChange::Entry(entry) => FeedRecord::Entry(entry),
+            ServerListChange::Removed(id) => FeedRecord::Removed(id),
         });
         let page = FeedPage {
             records: records.collect(),
             next,
-            is_end: current.is_some(),
+            is_end: confirmed_at.is_some(),
         };
-        self.apply(current, page);
-        let Some(current) = current else {
+        self.apply(confirmed_at, page);
+        let Some(confirmed_at) = confirmed_at else {
             return Some(Duration::ZERO);
         };
-        let age = self.gateway.now().saturating_duration_since(current);
+        let age = self.gateway.now().saturating_duration_since(confirmed_at);
         (age < self.max_age()).then_some(PEER_QUERY_INTERVAL)
     }
 
@@ -149,12 +151,12 @@
                 let pauses = self.feed == Feed::Servers && page.is_end;
                 // A long poll without records shows that there were none until the end of its wait.
                 let waited = self.gateway.now().saturating_duration_since(start);
-                let current = match self.next {
+                let confirmed_at = match self.next {
                     Some(_) if page.records.is_empty() => start + wait.min(waited),
                     _ => start,
                 };
-                let current = page.is_end.then_some(current);
-                self.apply(current, page);
+                let confirmed_at = page.is_end.then_some(confirmed_at);
+                self.apply(confirmed_at, page);
                 if pauses {
                     self.gateway.times.drain.mul_f64(SERVERS_READ_FRACTION)
                 } else {
@@ -172,8 +174,8 @@
         }
     }
 
-    // Applies a page of records. If `current` is set, the page is complete up to that time.
-    fn apply(&mut self, current: Option<Instant>, page: FeedPage) {
+    // Applies a page of records. If `confirmed_at` is set, the page is complete up to that time.
+    fn apply(&mut self, confirmed_at: Option<Instant>, page: FeedPage) {
         let from = self.next;
         if from.is_none() && self.feed == Feed::Servers {
             self.remove_missing(&page);
@@ -181,7 +183,7 @@
                 .dispatcher
                 .borrow_mut()
                 .feeds
-                .start_from(page.next);
+                .reset_changes(page.next);
         }
         self.next = Some(page.next);
         let changed = !page.records.is_empty();
@@ -198,17 +200,19 @@
             self.gateway.servers_changed.notify_waiters();
             self.gateway.replan.notify_one();
         }
-        let Some(current) = current else {
+        let Some(confirmed_at) = confirmed_at else {
             return;
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.feeds.note_current(self.feed, page.next, current);
+        dispatcher
+            .feeds
+            .record_position(self.feed, page.next, confirmed_at);
         if self.feed == Feed::Configuration {
-            dispatcher.freshness.note_current(current);
+            dispatcher.freshness.record_read(confirmed_at);
         }
     }
 
-    fn set_source(&mut self, source: &Source) {
+    fn set_source(&mut self, source: &FeedSource) {
         if self.source != *source {
             self.source = source.clone();
             Event::new("feed_source")
@@ -233,11 +237,11 @@
             }
             FeedRecord::Entry(entry) => {
                 log_entry(&dispatcher.backends, &entry);
-                if dispatcher.backends.is_news(&entry) {
-                    let change = ListChange::Entry(entry.clone());
-                    dispatcher.feeds.note_change(offset, &change);
+                if dispatcher.backends.is_changed(&entry) {
+                    let change = ServerListChange::Entry(entry.clone());
+                    dispatcher.feeds.record_change(offset, &change);
                 }
-                dispatcher.backends.note_entry(now, entry);
+                dispatcher.backends.apply_entry(now, entry);
             }
             FeedRecord::Removed(id) => {
                 let grace = self.removal_grace(now);
@@ -245,10 +249,10 @@
                     .with("server", &*id)
                     .with("kept_ms", grace.map(|grace| grace.as_millis() as u64))
                     .log();
-                dispatcher.backends.note_removed(now, &id, grace);
+                dispatcher.backends.mark_removed(now, &id, grace);
                 dispatcher.prompts.remove_server(&id);
-                let change = ListChange::Removed(id);
-                dispatcher.feeds.note_change(offset, &change);
+                let change = ServerListChange::Removed(id);
+                dispatcher.feeds.record_change(offset, &change);
             }
             FeedRecord::Unreadable { key, reason } => Event::new("record_unreadable")
                 .with("key", key)
@@ -262,13 +266,13 @@
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let grace = self.removal_grace(now);
-        for id in dispatcher.backends.listed() {
+        for id in dispatcher.backends.listed_ids() {
             let is_listed = page
                 .records
                 .iter()
                 .any(|record| matches!(record, FeedRecord::Entry(entry) if entry.id == id));
             if !is_listed {
-                dispatcher.backends.note_removed(now, &id, grace);
+                dispatcher.backends.mark_removed(now, &id, grace);
             }
         }
     }
@@ -305,7 +309,7 @@
     }
 }
 
-fn same_models(one: &Holdings, other: &Holdings) -> bool {
+fn same_models(one: &Inventory, other: &Inventory) -> bool {
     one.models.len() == other.models.len()
         && one
             .models
@@ -313,16 +317,16 @@
             .all(|(model, _)| other.adapters(model).is_some())
 }
 
-fn log_entry(known: &BackendTable, entry: &Entry) {
+fn log_entry(known: &BackendTable, entry: &BackendEntry) {
     let before = known.get(&entry.id).map(|server| &server.entry);
     let changed = before.is_none_or(|before| {
-        before.leaving != entry.leaving
-            || before.born != entry.born
-            || !same_models(&before.holdings, &entry.holdings)
+        before.draining != entry.draining
+            || before.started_ms != entry.started_ms
+            || !same_models(&before.inventory, &entry.inventory)
     });
     if changed {
         let models: Vec<&str> = entry
-            .holdings
+            .inventory
             .models
             .iter()
             .map(|(model, _)| &**model)
@@ -330,11 +334,11 @@
         Event::new("server")
             .with("server", &*entry.id)
             .with("service", &*entry.service)
-            .with("leaving", entry.leaving)
-            .with("born", entry.born)
-            .with("orders", entry.holdings.orders)
+            .with("leaving", entry.draining)
+            .with("born", entry.started_ms)
+            .with("orders", entry.inventory.orders)
             .with("models", models)
-            .with("on_disk", entry.holdings.on_disk.len())
+            .with("on_disk", entry.inventory.on_disk.len())
             .log();
     }
 }
--- a/crates/apricotwell_gateway/src/gateway.rs
+++ b/crates/apricotwell_gateway/src/gateway.rs
@@ -97,7 +97,7 @@
 {
     /// Creates an instance that has not yet read any feed.
     pub fn new(
-        facts: InstanceFacts,
+        facts: InstanceConfig,
         listeners: ListenAddresses,
         times: Timings,
         pool: Rc<ConnectionPool>,
--- a/crates/apricotwell_gateway/src/guard.rs
+++ b/crates/apricotwell_gateway/src/guard.rs
@@ -59,7 +59,7 @@
     pub fn new(gateway: &Rc<Gateway<P>>, server: ServerId, tokens: f64) -> Self {
         let now = gateway.now();
         let mut dispatcher = gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_start(now, &server, tokens);
+        dispatcher.backends.begin_request(now, &server, tokens);
         drop(dispatcher);
         Self {
             gateway: Rc::clone(gateway),
@@ -71,7 +71,9 @@
     pub fn record_outcome(&self, failed: bool) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_outcome(now, &self.server, failed);
+        dispatcher
+            .backends
+            .record_outcome(now, &self.server, failed);
     }
 }
 
@@ -81,7 +83,7 @@
 {
     fn drop(&mut self) {
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_end(&self.server);
+        dispatcher.backends.end_request(&self.server);
         drop(dispatcher);
         self.gateway.servers_changed.notify_waiters();
     }
@@ -104,13 +106,13 @@
 {
     /// Counts one request; returns `None` if it requests no model.
     pub fn new(gateway: &Rc<Gateway<P>>, admission: &Admission) -> Option<Self> {
-        let model = admission.wanted.clone()?;
+        let model = admission.requested_model.clone()?;
         let now = gateway.now();
         let wait_id = gateway.dispatcher.borrow_mut().demand.begin_wait(
             now,
             &admission.service,
             &model,
-            admission.silence,
+            admission.silence_deadline,
         );
         gateway.demand_changed.notify_one();
         gateway.replan.notify_one();
--- a/crates/apricotwell_gateway/src/handler.rs
+++ b/crates/apricotwell_gateway/src/handler.rs
@@ -39,7 +39,7 @@
     /// Request body as received.
     pub body: BufferedBody,
     /// Decoded request head.
-    pub call: Call,
+    pub call: RequestHead,
     /// Result of the admission.
     pub admission: Admission,
     /// Servers excluded from further attempts.
@@ -82,7 +82,7 @@
         gateway: &Rc<Gateway<P>>,
         head: request::Parts,
         body: BufferedBody,
-        call: Call,
+        call: RequestHead,
         admission: Admission,
     ) -> Self {
         Self {
@@ -112,8 +112,9 @@
     ///
     /// To be called when a stream is resumed, after the client has received part of it.
     pub fn reset_wait_deadline(&mut self) {
-        let timeout = self.admission.route.patience();
-        self.admission.silence = (self.gateway.now() + timeout).min(self.admission.deadline);
+        let timeout = self.admission.route.silence_timeout();
+        self.admission.silence_deadline =
+            (self.gateway.now() + timeout).min(self.admission.deadline);
     }
 
     /// Sends attempts until a server responds; returns its response.
@@ -183,14 +184,15 @@
         let mut excluded = self.excluded.clone();
         excluded.push(server.clone());
         let dispatcher = self.gateway.dispatcher.borrow();
-        let choice = dispatcher.choose(self.gateway.now(), &self.admission, &self.call, &excluded);
-        matches!(choice, Choice::Send(..))
+        let choice =
+            dispatcher.select_server(self.gateway.now(), &self.admission, &self.call, &excluded);
+        matches!(choice, RoutingDecision::Send(..))
     }
 
     fn on_rejection(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
         // A server that rejected a request for a model is not excluded, since it may load it
         // shortly.
-        if reason == UNSENT || self.admission.wanted.is_none() {
+        if reason == UNSENT || self.admission.requested_model.is_none() {
             self.excluded.push(server.clone());
         }
         self.rejections += 1;
@@ -241,18 +243,18 @@
             let now = self.gateway.now();
             let choice = {
                 let dispatcher = self.gateway.dispatcher.borrow();
-                dispatcher.choose(now, &self.admission, &self.call, &self.excluded)
+                dispatcher.select_server(now, &self.admission, &self.call, &self.excluded)
             };
             match choice {
-                Choice::Send(server, address) => {
+                RoutingDecision::Send(server, address) => {
                     self.server_found = Some(now);
                     return Ok((server, address));
                 }
-                Choice::Refuse(refusal) if self.runs == 0 => return Err(refusal),
-                Choice::Refuse(refusal) => {
+                RoutingDecision::Refuse(refusal) if self.runs == 0 => return Err(refusal),
+                RoutingDecision::Refuse(refusal) => {
                     return Err(self.refusal(refusal.kind, &refusal.message));
                 }
-                Choice::Wait => {}
+                RoutingDecision::Wait => {}
             }
             if self.must_stop_waiting() {
                 let text = "this instance is shutting down; use another one";
@@ -262,7 +264,10 @@
                 waiting = WaitGuard::new(&self.gateway, &self.admission);
                 self.log_wait();
             }
-            let left = self.admission.silence.saturating_duration_since(now);
+            let left = self
+                .admission
+                .silence_deadline
+                .saturating_duration_since(now);
             // Not every change is signalled, and the end of the wait never is, so this polls as
             // well.
             let _ = tokio::time::timeout(left.min(SERVER_POLL_INTERVAL), changed).await;
@@ -307,7 +312,7 @@
 
     // Records that the server receives the prompt; returns the prompt tokens not yet in its cache.
     fn record_prompt(&self, server: &ServerId) -> f64 {
-        let Some(model) = &self.admission.wanted else {
+        let Some(model) = &self.admission.requested_model else {
             return 0.0;
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
@@ -358,12 +363,12 @@
 
     // Records that the server does not have the requested model.
     fn record_rejection(&self, server: &ServerId) {
-        let Some(model) = &self.admission.wanted else {
+        let Some(model) = &self.admission.requested_model else {
             return;
         };
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        dispatcher.backends.note_denied(now, server, model);
+        dispatcher.backends.record_rejection(now, server, model);
     }
 
     // Returns the timeout for the head of a response. It is shorter than the time to the deadline
@@ -385,7 +390,7 @@
             let mut servers = dispatcher.backends.usable(now, &self.admission.service);
             servers
                 .by_ref()
-                .filter(|server| server.serves(now, self.admission.wanted.as_ref()))
+                .filter(|server| server.serves(now, self.admission.requested_model.as_ref()))
                 .count()
                 > self.excluded.len() + 1
         };
@@ -415,7 +420,9 @@
 
     fn wait_remaining(&self) -> Duration {
         let now = self.gateway.now();
-        self.admission.silence.saturating_duration_since(now)
+        self.admission
+            .silence_deadline
+            .saturating_duration_since(now)
     }
 
     fn log_attempt(&self, server: &ServerId, outcome: &str, reason: &str) {
@@ -450,7 +457,7 @@
     }
 
     fn model_name(&self) -> &str {
-        let requested = self.admission.wanted.as_ref();
+        let requested = self.admission.requested_model.as_ref();
         requested.map_or("", |requested| &*requested.model)
     }
 
--- a/crates/apricotwell_gateway/src/heartbeats.rs
+++ b/crates/apricotwell_gateway/src/heartbeats.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use apricotwell_dispatch::peers::heartbeat_pause;
+use apricotwell_dispatch::peers::heartbeat_interval;
 use apricotwell_dispatch::prelude::*;
 use apricotwell_messages::{Datagram, Heartbeat, StockTold};
 use apricotwell_types::InstanceId;
@@ -37,18 +37,18 @@
 where
     P: Platform,
 {
-    let mut inventory = StockNews::default();
+    let mut inventory = InventoryUpdates::default();
     let mut recipients = Recipients::All;
     let mut turn = 0;
     let mut due = tokio::time::Instant::now();
     loop {
-        let instances = gateway.dispatcher.borrow().peers.possible() as u32;
+        let instances = gateway.dispatcher.borrow().peers.possible_count() as u32;
         if recipients != Recipients::Nobody {
             send_heartbeat(&gateway, &socket, recipients).await;
         }
         if recipients == Recipients::All {
             // The interval grows with the fleet, so that the load on each instance stays the same.
-            due = tokio::time::Instant::now() + heartbeat_pause(instances);
+            due = tokio::time::Instant::now() + heartbeat_interval(instances);
         }
         if recipients != Recipients::LeaseHolder {
             broadcast_inventory(&gateway, &socket, &mut inventory, turn).await;
@@ -71,7 +71,7 @@
 }
 
 // Waits until this instance holds the lease and the inventory differs from the last update sent.
-async fn wait_inventory_change<P>(gateway: &Gateway<P>, inventory: &StockNews)
+async fn wait_inventory_change<P>(gateway: &Gateway<P>, inventory: &InventoryUpdates)
 where
     P: Platform,
 {
@@ -79,7 +79,7 @@
         gateway.inventory_changed.notified().await;
         let now = gateway.now();
         let dispatcher = gateway.dispatcher.borrow();
-        let (planner, list) = (&dispatcher.stock, &dispatcher.backends);
+        let (planner, list) = (&dispatcher.planner, &dispatcher.backends);
         if dispatcher.lease.fence(now).is_some() && inventory.has_change(now, planner, list) {
             return;
         }
@@ -90,7 +90,7 @@
 async fn broadcast_inventory<P>(
     gateway: &Gateway<P>,
     socket: &UdpSocket,
-    inventory: &mut StockNews,
+    inventory: &mut InventoryUpdates,
     turn: usize,
 ) where
     P: Platform,
@@ -104,10 +104,10 @@
         let update = StockTold {
             fence,
             relay: false,
-            servers: inventory.take(now, &dispatcher.stock, &dispatcher.backends),
+            servers: inventory.take_batch(now, &dispatcher.planner, &dispatcher.backends),
         };
-        dispatcher.note_stock(now, &update);
-        (update, dispatcher.stock_audience(now, turn))
+        dispatcher.apply_inventory(now, &update);
+        (update, dispatcher.inventory_recipients(now, turn))
     };
     if update.servers.is_empty() {
         return;
@@ -132,7 +132,7 @@
     let now = gateway.now();
     let targets = {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
-        dispatcher.note_stock(now, &update);
+        dispatcher.apply_inventory(now, &update);
         update.relay.then(|| dispatcher.zone_peers(now))
     };
     gateway.servers_changed.notify_waiters();
@@ -170,11 +170,16 @@
         dispatcher.expire(now);
         let heartbeat = dispatcher.heartbeat(now);
         if recipients == Recipients::All {
-            dispatcher.note_told(now);
+            dispatcher.on_spending_reported(now);
         }
         let demand = dispatcher.demand.model_uses(now);
         let holder = dispatcher.peers.lease_holder(now);
-        (heartbeat, demand, holder, dispatcher.peers.targets())
+        (
+            heartbeat,
+            demand,
+            holder,
+            dispatcher.peers.heartbeat_targets(),
+        )
     };
     let with_demand = Heartbeat {
         models: demand,
@@ -250,7 +255,7 @@
     let newer = gateway
         .dispatcher
         .borrow_mut()
-        .note_heartbeat(now, heartbeat);
+        .apply_heartbeat(now, heartbeat);
     if !newer {
         return;
     }
--- a/crates/apricotwell_gateway/src/membership.rs
+++ b/crates/apricotwell_gateway/src/membership.rs
@@ -25,7 +25,7 @@
 where
     P: Platform,
 {
-    let term = gateway.dispatcher.borrow().facts.lease.term;
+    let term = gateway.dispatcher.borrow().config.lease.term;
     let mut renewer = Renewer {
         member: gateway.listeners.peers.clone(),
         term,
@@ -76,7 +76,7 @@
     async fn renew(&mut self) -> Result<(), StoreError> {
         let gateway = Rc::clone(&self.gateway);
         let start = gateway.now();
-        gateway.dispatcher.borrow_mut().lease.note_try(start);
+        gateway.dispatcher.borrow_mut().lease.begin_renewal(start);
         let joined = gateway
             .store
             .join(&self.member, self.generation, self.term)
@@ -87,17 +87,17 @@
         // Only the candidate may claim a free lease, so the other members need not check it.
         let changed = self.checked.is_none()
             || (joined.is_candidate && self.checked != Some(joined.generation));
-        let step = {
+        let action = {
             let mut dispatcher = gateway.dispatcher.borrow_mut();
-            dispatcher.peers.note_unchanged(now);
-            dispatcher.lease.note_renewal(start, changed)
+            dispatcher.peers.refresh_members(now);
+            dispatcher.lease.complete_renewal(start, changed)
         };
         if self.listed != Some(joined.generation) && self.may_list(now) {
             list_members(&gateway).await?;
             self.listed = Some(joined.generation);
             self.listed_at = Some(now);
         }
-        if step == LeaseStep::Check {
+        if action == LeaseAction::Check {
             self.check(joined.is_candidate).await?;
             self.checked = Some(joined.generation);
         }
@@ -106,7 +106,7 @@
 
     // Members announce themselves by heartbeats; the list only recovers lost ones.
     fn may_list(&self, now: Instant) -> bool {
-        let members = self.gateway.dispatcher.borrow().peers.possible() as u32;
+        let members = self.gateway.dispatcher.borrow().peers.possible_count() as u32;
         let interval = MIN_LIST_INTERVAL.max(LIST_INTERVAL_PER_INSTANCE * members);
         self.listed_at
             .is_none_or(|at| now.saturating_duration_since(at) >= interval)
@@ -116,40 +116,40 @@
     async fn check(&self, is_candidate: bool) -> Result<(), StoreError> {
         for _ in 0..MAX_CLAIM_ATTEMPTS {
             let last = self.gateway.store.last_claim().await?;
-            let standing = match &last.claim {
+            let status = match &last.claim {
                 Some(claim) if claim.holder != self.member => {
                     let members = self.gateway.store.members().await?;
                     if members.contains(&claim.holder) {
-                        Standing::Taken
+                        ClaimStatus::Taken
                     } else {
-                        Standing::Dropped
+                        ClaimStatus::Dropped
                     }
                 }
-                Some(_) => Standing::Own,
-                None if last.end == 0 => Standing::Unclaimed,
+                Some(_) => ClaimStatus::Own,
+                None if last.end == 0 => ClaimStatus::Unclaimed,
                 // The record has expired, so any member may have written it.
-                None => Standing::Dropped,
+                None => ClaimStatus::Dropped,
             };
-            let step = {
+            let action = {
                 let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-                dispatcher.lease.note_standing(standing, is_candidate)
+                dispatcher.lease.apply_status(status, is_candidate)
             };
-            match step {
-                LeaseStep::Claim => match self.claim(last.end, standing).await {
+            match action {
+                LeaseAction::Claim => match self.claim(last.end, status).await {
                     Err(StoreError::Conflict) => {}
                     result => return result,
                 },
-                LeaseStep::Stop => {
+                LeaseAction::Stop => {
                     Event::new("lease_lost").log();
                     return Ok(());
                 }
-                LeaseStep::Keep | LeaseStep::Check => return Ok(()),
+                LeaseAction::Keep | LeaseAction::Check => return Ok(()),
             }
         }
         Err(StoreError::Conflict)
     }
 
-    async fn claim(&self, at: Offset, standing: Standing) -> Result<(), StoreError> {
+    async fn claim(&self, at: Offset, status: ClaimStatus) -> Result<(), StoreError> {
         let gateway = &self.gateway;
         let record = ClaimRecord {
             holder: self.member.clone(),
@@ -157,10 +157,10 @@
         let fence = gateway.store.append_claim(at, &record).await?;
         let now = gateway.now();
         let mut dispatcher = gateway.dispatcher.borrow_mut();
-        dispatcher.lease.note_claim(now, fence, standing);
+        dispatcher.lease.apply_claim(now, fence, status);
         Event::new("lease_claimed")
             .with("fence", fence)
-            .with("standing", format!("{standing:?}"))
+            .with("standing", format!("{status:?}"))
             .log();
         Ok(())
     }
@@ -180,7 +180,7 @@
         .filter(|member| *member != own)
         .map(|member| InstanceId::from(member.as_str()));
     let mut dispatcher = gateway.dispatcher.borrow_mut();
-    dispatcher.peers.note_members(now, others);
+    dispatcher.peers.apply_members(now, others);
     Ok(())
 }
 
--- a/crates/apricotwell_gateway/src/placement.rs
+++ b/crates/apricotwell_gateway/src/placement.rs
@@ -26,7 +26,7 @@
         announce_fence(&gateway, &mut announced);
         plan_once(&gateway);
         tokio::time::sleep(MIN_PLAN_INTERVAL).await;
-        let due = gateway.dispatcher.borrow().stock.next_due(gateway.now());
+        let due = gateway.dispatcher.borrow().planner.next_due(gateway.now());
         let pause = due.map_or(MAX_PLAN_INTERVAL, |due| due.min(MAX_PLAN_INTERVAL));
         // Plans again after a change, or after the pause if there is none.
         let _ = tokio::time::timeout(pause, gateway.replan.notified()).await;
@@ -61,7 +61,7 @@
     let Some(fence) = dispatcher.lease.fence(now) else {
         // Another instance may be sending orders, so the known inventory is discarded. Servers
         // report it again once this instance holds the lease.
-        dispatcher.stock.reset();
+        dispatcher.planner.reset();
         return;
     };
     let (orders, reports) = dispatcher.plan(now);
@@ -94,7 +94,7 @@
     gateway
         .dispatcher
         .borrow_mut()
-        .stock
+        .planner
         .apply_report(now, &server, report);
     gateway.replan.notify_one();
     gateway.inventory_changed.notify_one();
@@ -112,7 +112,7 @@
         let backend = dispatcher.backends.get(&order.server);
         backend
             .filter(|_| is_current)
-            .map(|server| (server.entry.address, dispatcher.facts.id.clone()))
+            .map(|server| (server.entry.address, dispatcher.config.id.clone()))
     };
     let reply = match target {
         Some((address, holder)) => gateway.engines.order(address, &order, &holder, fence).await,
@@ -134,9 +134,9 @@
     {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
         if reply == OrderReply::Fenced {
-            dispatcher.lease.note_fenced();
+            dispatcher.lease.on_fenced();
         }
-        dispatcher.stock.apply_reply(now, &order.server, reply);
+        dispatcher.planner.apply_reply(now, &order.server, reply);
     }
     gateway.replan.notify_one();
     gateway.inventory_changed.notify_one();
--- a/crates/apricotwell_gateway/src/requests.rs
+++ b/crates/apricotwell_gateway/src/requests.rs
@@ -103,7 +103,7 @@
     gateway: &Rc<Gateway<P>>,
     head: &request::Parts,
     body: Incoming,
-    call: &Call,
+    call: &RequestHead,
 ) -> Result<(BufferedBody, Admission), Refusal>
 where
     P: Platform,
@@ -118,11 +118,11 @@
         );
     }
     let limit = body_limit(gateway);
-    let body = read_body(head, body, limit, &gateway.body_budget, call.deadline).await?;
+    let body = read_body(head, body, limit, &gateway.body_budget, call.timeout).await?;
     let now = gateway.now();
     let mut dispatcher = gateway.dispatcher.borrow_mut();
     let admission = dispatcher.admit(now, call)?;
-    if dispatcher.is_tight(now, &admission) {
+    if dispatcher.is_near_limit(now, &admission) {
         gateway.heartbeat_due.notify_one();
     }
     Ok((body, admission))
@@ -134,7 +134,7 @@
 {
     let dispatcher = gateway.dispatcher.borrow();
     let catalog = dispatcher.catalog.as_ref();
-    catalog.map_or(CallerLimits::default().body_bytes, |catalog| {
+    catalog.map_or(ClientLimits::default().body_bytes, |catalog| {
         catalog.limits.body_bytes
     })
 }
@@ -311,14 +311,14 @@
     ClientResponse::Complete(P::ClientProtocol::encode_refusal(refusal))
 }
 
-fn log_refusal<P>(gateway: &Gateway<P>, call: &Call, refusal: &Refusal)
+fn log_refusal<P>(gateway: &Gateway<P>, call: &RequestHead, refusal: &Refusal)
 where
     P: Platform,
 {
     let dispatcher = gateway.dispatcher.borrow();
     let now = gateway.now();
     gateway.metrics.count_request(refusal.kind.code());
-    let requested = call.wanted.as_ref();
+    let requested = call.requested_model.as_ref();
     Event::new("request_refused")
         .with("request", call.attempt.as_str())
         .with("reason", refusal.kind.code())
--- a/crates/apricotwell_gateway/src/usage.rs
+++ b/crates/apricotwell_gateway/src/usage.rs
@@ -29,14 +29,14 @@
 where
     P: Platform,
 {
-    if !gateway.dispatcher.borrow().facts.first_start {
+    if !gateway.dispatcher.borrow().config.first_start {
         restore(&gateway).await;
     }
     let mut intervals = 0;
     loop {
         tokio::time::sleep(MIN_SAVE_INTERVAL).await;
         intervals += 1;
-        if intervals < INTERVALS_PER_SAVE && !gateway.dispatcher.borrow().is_any_tight() {
+        if intervals < INTERVALS_PER_SAVE && !gateway.dispatcher.borrow().is_any_near_limit() {
             continue;
         }
         intervals = 0;
--- a/crates/apricotwell_gateway/tests/feed_queries.rs
+++ b/crates/apricotwell_gateway/tests/feed_queries.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use apricotwell_dispatch::feeds::{Feed, Told};
+use apricotwell_dispatch::feeds::{Feed, FeedUpdate};
 use apricotwell_gateway::feed_queries::FeedQueries;
 use apricotwell_messages::{Datagram, FeedAnswer};
 use apricotwell_types::InstanceId;
@@ -34,7 +34,7 @@
     }
 }
 
-async fn query(queries: &FeedQueries, socket: &UdpSocket, peer: &UdpSocket) -> Option<Told> {
+async fn query(queries: &FeedQueries, socket: &UdpSocket, peer: &UdpSocket) -> Option<FeedUpdate> {
     let peer: InstanceId = peer.local_addr().unwrap().to_string().as_str().into();
     let feed_position = (Feed::Configuration, 7);
     queries
@@ -77,7 +77,7 @@
             received
         };
         let (changes, received) = tokio::join!(query(&queries, &socket, &peer), reply);
-        let current = changes.unwrap().current.unwrap();
-        assert!(current + Duration::from_millis(100) <= received);
+        let confirmed_at = changes.unwrap().confirmed_at.unwrap();
+        assert!(confirmed_at + Duration::from_millis(100) <= received);
     });
 }
--- a/crates/apricotwell_node/src/claim_holder.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -1,4 +1,4 @@
-//! Claims as the holder of their shards: folds claim streams and answers asks.
+//! Lease holder's side of the claim protocol: applies claim streams and answers claims.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -15,43 +15,43 @@
 
 use crate::Action;
 
-/// Pause before an append or a read is repeated.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Time without an append's outcome after which the asks in it are turned away.
-const MAX_ASK_AGE: Duration = Duration::from_secs(2);
-/// Time that an ask waits for the end of another attempt with its key.
+/// Delay before an append is repeated; an unanswered read is repeated after five times as long.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Time after which a claim without a verdict is rejected as unavailable.
+const MAX_CLAIM_AGE: Duration = Duration::from_secs(2);
+/// Time that a claim waits for the outcome of another attempt with its key.
 const MAX_HELD_WAIT: Duration = Duration::from_millis(1000);
-/// Records in one append.
+/// Largest number of claims, outcomes or rewritten claims in one append.
 const MAX_GROUP: usize = 64;
-/// Asks and ends that may wait on one shard.
+/// Largest number of claims, and of outcomes, that wait on one shard.
 const MAX_QUEUE: usize = 4096;
 
 /// Reply to an instance, which may be this one.
 pub(crate) type Reply = (InstanceId, Message);
 
 #[derive(Debug)]
-struct WaitingAsk {
+struct PendingClaim {
     from: InstanceId,
-    ask: ClaimAsk,
+    claim: ClaimAsk,
     since: Instant,
 }
 
 #[derive(Debug)]
-struct WaitingEnd {
+struct PendingOutcome {
     from: InstanceId,
     finished: Finished,
 }
 
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     ticket: u64,
     records: Vec<Vec<u8>>,
-    // Last offset of the group once it is appended.
+    // Offset of the group's last record, once it is appended.
     last: Option<Offset>,
-    // When the same bytes go again, their outcome being unknown.
+    // When the same bytes are appended again, because the outcome is unknown.
     retry: Option<Instant>,
     // Whether an earlier append of the group may still take effect.
-    doubtful: bool,
+    uncertain: bool,
     // Attempts that the group claims keys for.
     attempts: Vec<String>,
 }
@@ -60,61 +60,61 @@
 ///
 /// # Invariants
 ///
-/// A verdict is given only from a table that contains the ask's own record or an earlier claim of
-/// its key, and whose highest opened fence is this holder's.
+/// A verdict comes only from a table that contains the record of the claim itself or of an earlier
+/// claim on its key, and whose highest opened fence is the fence of this holder.
 #[derive(Debug)]
 struct HeldShard {
     fence: Fence,
     table: ClaimTable,
-    asks: Vec<WaitingAsk>,
-    ends: Vec<WaitingEnd>,
-    flight: Option<Flight>,
+    pending: Vec<PendingClaim>,
+    outcomes: Vec<PendingOutcome>,
+    in_flight: Option<InFlight>,
     reading: Option<Instant>,
     pause_until: Option<Instant>,
-    // Whether this holder's term has been appended.
+    // Whether the record that opens this holder's term has been sent to the log.
     opening: bool,
-    // Claims that stand below this offset are to be written anew.
+    // Claims recorded below this offset must be rewritten.
     republish_below: Offset,
-    // End of the stream when claims were last written anew.
-    boundary: Offset,
+    // End of the stream when the latest rewrite of claims began.
+    republish_boundary: Offset,
     republish_at: Option<Instant>,
 }
 
 /// Claim shards held by this instance.
 #[derive(Debug, Default)]
-pub(crate) struct ClaimHolder {
+pub(crate) struct ClaimCoordinator {
     shards: BTreeMap<Shard, HeldShard>,
 }
 
-impl ClaimHolder {
-    /// Takes an ask for a shard held under `fence`.
-    pub(crate) fn on_ask(
+impl ClaimCoordinator {
+    /// Handles a claim on a key in a shard held under `fence`.
+    pub(crate) fn on_claim(
         &mut self,
         now: Instant,
         shard: Shard,
         fence: Fence,
         from: InstanceId,
-        ask: ClaimAsk,
+        claim: ClaimAsk,
     ) -> Option<Reply> {
         let held = self.shard(shard, fence);
-        if held.asks.len() >= MAX_QUEUE {
-            return Some(reply(from, &ask.attempt, ClaimVerdict::Unavailable, None));
+        if held.pending.len() >= MAX_QUEUE {
+            return Some(reply(from, &claim.attempt, ClaimVerdict::Unavailable, None));
         }
         let known = held
-            .asks
+            .pending
             .iter()
-            .any(|known| known.ask.attempt == ask.attempt);
+            .any(|known| known.claim.attempt == claim.attempt);
         if !known {
-            held.asks.push(WaitingAsk {
+            held.pending.push(PendingClaim {
                 from,
-                ask,
+                claim,
                 since: now,
             });
         }
         None
     }
 
-    /// Takes the end of an attempt for a shard held under `fence`.
+    /// Handles the outcome of an attempt in a shard held under `fence`.
     pub(crate) fn on_finish(
         &mut self,
         shard: Shard,
@@ -126,28 +126,28 @@
             return;
         };
         let held = self.shard(shard, fence);
-        // The attempt has been given up: claiming its key now would block the key for good.
-        held.asks
-            .retain(|waiting| waiting.ask.attempt != finished.attempt);
+        // The attempt is over: claiming its key now would block the key forever.
+        held.pending
+            .retain(|waiting| waiting.claim.attempt != finished.attempt);
         let known = held
-            .ends
+            .outcomes
             .iter()
-            .any(|end| end.finished.attempt == finished.attempt);
-        if !known && held.ends.len() < MAX_QUEUE {
-            held.ends.push(WaitingEnd { from, finished });
+            .any(|outcome| outcome.finished.attempt == finished.attempt);
+        if !known && held.outcomes.len() < MAX_QUEUE {
+            held.outcomes.push(PendingOutcome { from, finished });
         }
     }
 
-    /// Returns replies and appends that are due.
+    /// Returns the replies, appends and reads that are due.
     ///
-    /// `is_gone` tells whether the process that made an attempt has ended.
+    /// `has_ended` returns whether the process that made an attempt has ended.
     pub(crate) fn tick<F>(
         &mut self,
         now: Instant,
         wall: Duration,
-        memory: Duration,
-        tickets: &mut u64,
-        is_gone: F,
+        retention: Duration,
+        last_ticket: &mut u64,
+        has_ended: F,
     ) -> (Vec<Reply>, Vec<Action>)
     where
         F: Fn(&str) -> bool,
@@ -155,18 +155,18 @@
         let mut replies = Vec::new();
         let mut actions = Vec::new();
         let wall_ms = wall.as_millis() as u64;
-        let oldest = wall_ms.saturating_sub(memory.as_millis() as u64);
+        let oldest = wall_ms.saturating_sub(retention.as_millis() as u64);
         for (shard, held) in &mut self.shards {
             held.table.forget(oldest);
-            held.turn_away(now, &mut replies);
-            held.answer(now, &is_gone, &mut replies);
-            actions.extend(held.append(now, *shard, wall_ms, tickets));
+            held.reject_expired(now, &mut replies);
+            held.send_verdicts(now, &has_ended, &mut replies);
+            actions.extend(held.append(now, *shard, wall_ms, last_ticket));
             actions.extend(held.read(now, *shard));
         }
         (replies, actions)
     }
 
-    /// Takes the outcome of an append.
+    /// Handles the result of an append.
     pub(crate) fn on_appended(
         &mut self,
         now: Instant,
@@ -174,31 +174,32 @@
         result: Result<Offset, AppendError>,
     ) {
         let find = |held: &&mut HeldShard| {
-            let flight = held.flight.as_ref();
-            flight.is_some_and(|flight| flight.ticket == ticket)
+            let in_flight = held.in_flight.as_ref();
+            in_flight.is_some_and(|in_flight| in_flight.ticket == ticket)
         };
         let Some(held) = self.shards.values_mut().find(find) else {
             return;
         };
-        let Some(flight) = &mut held.flight else {
+        let Some(in_flight) = &mut held.in_flight else {
             return;
         };
         match result {
-            Ok(first) => flight.last = Some(first + flight.records.len() as Offset - 1),
-            // What was refused this time may have been taken the time before.
-            Err(AppendError::NotAppended) if !flight.doubtful => {
-                held.flight = None;
+            Ok(first) => in_flight.last = Some(first + in_flight.records.len() as Offset - 1),
+            // After an uncertain append a rejection proves nothing: the earlier one may have
+            // succeeded.
+            Err(AppendError::NotAppended) if !in_flight.uncertain => {
+                held.in_flight = None;
                 held.opening = false;
-                held.pause_until = Some(now + RETRY_PAUSE);
+                held.pause_until = Some(now + RETRY_DELAY);
             }
             Err(_) => {
-                flight.doubtful = true;
-                flight.retry = Some(now + RETRY_PAUSE);
+                in_flight.uncertain = true;
+                in_flight.retry = Some(now + RETRY_DELAY);
             }
         }
     }
 
-    /// Takes the outcome of a read.
+    /// Handles the result of a read.
     pub(crate) fn on_read(
         &mut self,
         now: Instant,
@@ -214,9 +215,9 @@
         }
     }
 
-    /// Gives up the shards for which `fence_of` no longer gives their fence.
+    /// Drops the shards for which `fence_of` no longer returns their fence.
     ///
-    /// Asks under way are dropped: the new holder finds what they appended.
+    /// Their pending claims are dropped too; the new holder finds those that were appended.
     pub(crate) fn retain<F>(&mut self, fence_of: F)
     where
         F: Fn(Shard) -> Option<Fence>,
@@ -225,16 +226,16 @@
             .retain(|shard, held| fence_of(*shard) == Some(held.fence));
     }
 
-    /// Keeps a shard open under `fence`, and has claims older than one `period` written anew.
-    pub(crate) fn hold(&mut self, now: Instant, shard: Shard, fence: Fence, period: Duration) {
+    /// Keeps a shard open under `fence`, and rewrites claims that are older than one `period`.
+    pub(crate) fn keep_open(&mut self, now: Instant, shard: Shard, fence: Fence, period: Duration) {
         let held = self.shard(shard, fence);
         let due = held.republish_at.get_or_insert(now + period);
         if now < *due {
             return;
         }
         held.republish_at = Some(now + period);
-        held.republish_below = held.boundary;
-        held.boundary = held.table.next();
+        held.republish_below = held.republish_boundary;
+        held.republish_boundary = held.table.next();
     }
 
     /// Returns the number of claims over all held shards.
@@ -258,19 +259,19 @@
         Self {
             fence,
             table: ClaimTable::default(),
-            asks: Vec::new(),
-            ends: Vec::new(),
-            flight: None,
+            pending: Vec::new(),
+            outcomes: Vec::new(),
+            in_flight: None,
             reading: None,
             pause_until: None,
             opening: false,
             republish_below: 0,
-            boundary: 0,
+            republish_boundary: 0,
             republish_at: None,
         }
     }
 
-    // Only a table that contains this holder's own opening has seen all earlier claims.
+    // A table has seen all earlier claims only if it contains the record that opened this term.
     fn is_open(&self) -> bool {
         self.table.fence() == self.fence
     }
@@ -279,10 +280,10 @@
         self.table.fence() > self.fence
     }
 
-    fn turn_away(&mut self, now: Instant, replies: &mut Vec<Reply>) {
+    fn reject_expired(&mut self, now: Instant, replies: &mut Vec<Reply>) {
         let superseded = self.is_superseded();
-        self.asks.retain(|waiting| {
-            let late = now >= waiting.since + MAX_ASK_AGE;
+        self.pending.retain(|waiting| {
+            let late = now >= waiting.since + MAX_CLAIM_AGE;
             if !late && !superseded {
                 return true;
             }
@@ -293,7 +294,7 @@
             };
             replies.push(reply(
                 waiting.from.clone(),
-                &waiting.ask.attempt,
+                &waiting.claim.attempt,
                 verdict,
                 None,
             ));
@@ -301,7 +302,7 @@
         });
     }
 
-    fn answer<F>(&mut self, now: Instant, is_gone: &F, replies: &mut Vec<Reply>)
+    fn send_verdicts<F>(&mut self, now: Instant, has_ended: &F, replies: &mut Vec<Reply>)
     where
         F: Fn(&str) -> bool,
     {
@@ -309,28 +310,31 @@
             return;
         }
         let table = &self.table;
-        let ends = &mut self.ends;
-        self.asks.retain(|waiting| {
-            let Some((verdict, finished)) = judge(table, ends, &waiting.ask, is_gone) else {
+        let outcomes = &mut self.outcomes;
+        self.pending.retain(|waiting| {
+            let Some((verdict, finished)) = decide(table, outcomes, &waiting.claim, has_ended)
+            else {
                 return true;
             };
-            // The attempt that holds the key mostly ends soon, and its answer serves this ask too.
+            // The attempt that holds the key usually ends soon, and its answer serves this claim
+            // too.
             if verdict == ClaimVerdict::Held && now < waiting.since + MAX_HELD_WAIT {
                 return true;
             }
-            let attempt = &waiting.ask.attempt;
+            let attempt = &waiting.claim.attempt;
             replies.push(reply(waiting.from.clone(), attempt, verdict, finished));
             false
         });
-        let flight = self.flight.as_ref();
-        self.ends.retain(|end| {
-            let attempt = &end.finished.attempt;
-            let may_come = flight.is_some_and(|flight| flight.attempts.contains(attempt));
-            let done = !may_come && is_recorded(table, &end.finished);
-            if done && !end.from.is_empty() {
-                let attempt = end.finished.attempt.clone();
+        let in_flight = self.in_flight.as_ref();
+        self.outcomes.retain(|outcome| {
+            let attempt = &outcome.finished.attempt;
+            let may_be_claimed =
+                in_flight.is_some_and(|in_flight| in_flight.attempts.contains(attempt));
+            let done = !may_be_claimed && is_recorded(table, &outcome.finished);
+            if done && !outcome.from.is_empty() {
+                let attempt = outcome.finished.attempt.clone();
                 let confirmation = Message::ClaimFinished(ClaimFinished { attempt });
-                replies.push((end.from.clone(), confirmation));
+                replies.push((outcome.from.clone(), confirmation));
             }
             !done
         });
@@ -341,14 +345,14 @@
         now: Instant,
         shard: Shard,
         wall_ms: u64,
-        tickets: &mut u64,
+        last_ticket: &mut u64,
     ) -> Option<Action> {
-        if let Some(flight) = &mut self.flight {
-            if flight.last.is_some_and(|last| self.table.next() > last) {
-                self.flight = None;
-            } else if flight.retry.is_some_and(|at| now >= at) {
-                flight.retry = None;
-                return Some(append_action(shard, flight));
+        if let Some(in_flight) = &mut self.in_flight {
+            if in_flight.last.is_some_and(|last| self.table.next() > last) {
+                self.in_flight = None;
+            } else if in_flight.retry.is_some_and(|at| now >= at) {
+                in_flight.retry = None;
+                return Some(append_action(shard, in_flight));
             } else {
                 return None;
             }
@@ -368,26 +372,26 @@
             .map(|body| record(body).to_bytes())
             .collect();
         if self.is_open() && self.republish_below > 0 {
-            let again = self.table.republish(self.republish_below, MAX_GROUP);
-            if again.is_empty() {
+            let republished = self.table.republish(self.republish_below, MAX_GROUP);
+            if republished.is_empty() {
                 self.republish_below = 0;
             }
-            records.extend(again.iter().map(ClaimRecord::to_bytes));
+            records.extend(republished.iter().map(ClaimRecord::to_bytes));
         }
         if records.is_empty() {
             return None;
         }
-        *tickets += 1;
-        let flight = Flight {
-            ticket: *tickets,
+        *last_ticket += 1;
+        let in_flight = InFlight {
+            ticket: *last_ticket,
             records,
             last: None,
             retry: None,
-            doubtful: false,
+            uncertain: false,
             attempts,
         };
-        let action = append_action(shard, &flight);
-        self.flight = Some(flight);
+        let action = append_action(shard, &in_flight);
+        self.in_flight = Some(in_flight);
         Some(action)
     }
 
@@ -399,29 +403,29 @@
             self.opening = true;
             return vec![ClaimBody::Opened(Opened {})];
         }
-        let ends = self.ends.iter().take(MAX_GROUP);
-        let mut bodies: Vec<ClaimBody> = ends
-            .map(|end| ClaimBody::Finished(end.finished.clone()))
+        let outcomes = self.outcomes.iter().take(MAX_GROUP);
+        let mut bodies: Vec<ClaimBody> = outcomes
+            .map(|outcome| ClaimBody::Finished(outcome.finished.clone()))
             .collect();
         let table = &self.table;
-        let is_free = |waiting: &&WaitingAsk| is_free(table, &waiting.ask);
-        for waiting in self.asks.iter().filter(is_free).take(MAX_GROUP) {
+        let is_free = |waiting: &&PendingClaim| is_free(table, &waiting.claim);
+        for waiting in self.pending.iter().filter(is_free).take(MAX_GROUP) {
             bodies.push(ClaimBody::Claimed(Claimed {
-                key: waiting.ask.key.clone(),
-                body: waiting.ask.body.clone(),
-                attempt: waiting.ask.attempt.clone(),
+                key: waiting.claim.key.clone(),
+                body: waiting.claim.body.clone(),
+                attempt: waiting.claim.attempt.clone(),
             }));
         }
         bodies
     }
 
-    // Reads while something that was appended has not been seen.
+    // Reads the stream until it has returned everything that was appended.
     fn read(&mut self, now: Instant, shard: Shard) -> Option<Action> {
         let appended = self
-            .flight
+            .in_flight
             .as_ref()
-            .is_some_and(|flight| flight.last.is_some());
-        if !appended || self.reading.is_some_and(|at| now < at + RETRY_PAUSE * 5) {
+            .is_some_and(|in_flight| in_flight.last.is_some());
+        if !appended || self.reading.is_some_and(|at| now < at + RETRY_DELAY * 5) {
             return None;
         }
         self.reading = Some(now);
@@ -444,41 +448,44 @@
                     }
                 }
             }
-            // Claims are written anew before they are dropped, so what is gone has aged out.
+            // Claims are rewritten before the log drops them, so only expired ones are missing.
             Err(ReadError::Expired(first)) => self.table.skip_to(first),
             Err(ReadError::Unreachable) => self.reading = Some(now),
         }
     }
 }
 
-// Returns the verdict on an ask, `None` while its record must be appended or read back.
-fn judge<F>(
+// Returns the verdict on a claim; `None` until its record is appended and read back.
+fn decide<F>(
     table: &ClaimTable,
-    ends: &mut Vec<WaitingEnd>,
-    ask: &ClaimAsk,
-    is_gone: &F,
+    outcomes: &mut Vec<PendingOutcome>,
+    claim: &ClaimAsk,
+    has_ended: &F,
 ) -> Option<(ClaimVerdict, Option<Finished>)>
 where
     F: Fn(&str) -> bool,
 {
-    let key = BodyDigest::from_slice(&ask.key);
-    let body = BodyDigest::from_slice(&ask.body);
+    let key = BodyDigest::from_slice(&claim.key);
+    let body = BodyDigest::from_slice(&claim.body);
     let (Some(key), Some(body)) = (key, body) else {
         return Some((ClaimVerdict::Unavailable, None));
     };
-    match table.verdict(key, body, &ask.attempt) {
+    match table.verdict(key, body, &claim.attempt) {
         Verdict::Free => None,
         Verdict::Granted => Some((ClaimVerdict::Granted, None)),
         Verdict::OtherBody => Some((ClaimVerdict::OtherBody, None)),
         Verdict::Ended(outcome) => {
-            let finished = outcome.to_record(key, &ask.attempt);
+            let finished = outcome.to_record(key, &claim.attempt);
             Some((ClaimVerdict::Ended, Some(finished)))
         }
-        Verdict::Held(attempt) if is_gone(&attempt) => {
-            // Its process ended without telling; nobody will ever know more.
+        Verdict::Held(attempt) if has_ended(&attempt) => {
+            // The process ended without reporting an outcome, so the outcome stays unknown.
             let unknown = Outcome::Ended(Ending::OutcomeUnknown).to_record(key, &attempt);
-            if !ends.iter().any(|end| end.finished.attempt == attempt) {
-                ends.push(WaitingEnd {
+            if !outcomes
+                .iter()
+                .any(|outcome| outcome.finished.attempt == attempt)
+            {
+                outcomes.push(PendingOutcome {
                     from: "".into(),
                     finished: unknown,
                 });
@@ -489,7 +496,8 @@
     }
 }
 
-// An end is recorded when its claim has an outcome or is gone, as after not run.
+// An outcome is recorded once its claim has an outcome, or no longer exists because the attempt
+// did not run.
 fn is_recorded(table: &ClaimTable, finished: &Finished) -> bool {
     let Some(key) = BodyDigest::from_slice(&finished.key) else {
         return true;
@@ -497,12 +505,12 @@
     !table.is_running(key, &finished.attempt)
 }
 
-fn is_free(table: &ClaimTable, ask: &ClaimAsk) -> bool {
-    let key = BodyDigest::from_slice(&ask.key);
-    let body = BodyDigest::from_slice(&ask.body);
+fn is_free(table: &ClaimTable, claim: &ClaimAsk) -> bool {
+    let key = BodyDigest::from_slice(&claim.key);
+    let body = BodyDigest::from_slice(&claim.body);
     let verdict = key
         .zip(body)
-        .map(|(key, body)| table.verdict(key, body, &ask.attempt));
+        .map(|(key, body)| table.verdict(key, body, &claim.attempt));
     verdict == Some(Verdict::Free)
 }
 
@@ -514,11 +522,11 @@
     bodies.iter().filter_map(attempt).collect()
 }
 
-fn append_action(shard: Shard, flight: &Flight) -> Action {
+fn append_action(shard: Shard, in_flight: &InFlight) -> Action {
     Action::Append {
         stream: claim_stream(shard),
-        ticket: flight.ticket,
-        records: flight.records.clone(),
+        ticket: in_flight.ticket,
+        records: in_flight.records.clone(),
     }
 }
 
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -1,8 +1,8 @@
-//! The node: routes events between the concerns and queues actions.
+//! The node routes events between its components and queues actions.
 
-mod claiming;
-mod duties;
-mod ending;
+mod coordination;
+mod failures;
+mod idempotency;
 mod peers;
 mod serving;
 
@@ -23,68 +23,68 @@
     InstanceId, Map, ModelId, Offset, OrgId, RequestId, Shard, rendezvous_rank, shard_of,
 };
 
-use crate::claim_desk::ClaimDesk;
-use crate::claim_holder::ClaimHolder;
+use crate::claim_client::ClaimClient;
+use crate::claim_coordinator::ClaimCoordinator;
 use crate::fleet::Fleet;
 use crate::log_writer::LogWriter;
-use crate::order_desk::OrderDesk;
+use crate::order_manager::OrderManager;
 use crate::requests::RequestTable;
-use crate::server_desk::ServerDesk;
-use crate::token_desk::TokenDesk;
+use crate::server_registry::ServerRegistry;
+use crate::token_manager::TokenManager;
 use crate::{Action, InstanceStatus, NodeSettings};
 
-/// Records kept for peers that can't reach the log.
-const MAX_RECENT: usize = 4096;
-/// Time between two plans while nothing happens.
+/// Number of applied records kept for peers that can't reach the log.
+const MAX_RECENT_RECORDS: usize = 4096;
+/// Time between two planning rounds while no event triggers one.
 const PLAN_PERIOD: Duration = Duration::from_millis(200);
-/// Time for which told demand counts, in demand periods.
-const DEMAND_LIFETIME: u32 = 8;
+/// Time for which a demand report counts, in demand periods.
+const DEMAND_PERIODS: u32 = 8;
 
-/// Decisions of one entry instance.
+/// Decides what one entry instance does.
 ///
 /// # Invariants
 ///
-/// Nothing is planned from the state while a record of this instance is not yet applied here.
+/// The node plans from the state only when it has applied every record that it appended itself.
 pub struct Node {
     settings: NodeSettings,
-    // Wall time at `started`, to date claims and events.
+    // Wall time at `started`, for the timestamps of claims and events.
     wall_start: Duration,
     started: Instant,
     state: State,
     fleet: Fleet,
     writer: LogWriter,
-    tokens: TokenDesk,
+    tokens: TokenManager,
     queue: FairQueue,
-    waits: Map<ModelId, WaitEstimate>,
+    wait_estimates: Map<ModelId, WaitEstimate>,
     requests: RequestTable,
     router: Router,
-    budgets: Map<(OrgId, ModelId), RetryBudget>,
-    claims: ClaimDesk,
-    claim_holder: ClaimHolder,
-    servers: ServerDesk,
-    orders: OrderDesk,
+    retry_budgets: Map<(OrgId, ModelId), RetryBudget>,
+    claim_client: ClaimClient,
+    claim_coordinator: ClaimCoordinator,
+    servers: ServerRegistry,
+    orders: OrderManager,
     demand: DemandTable,
     planner: Planner,
-    recent: VecDeque<(Offset, Vec<u8>)>,
+    recent_records: VecDeque<(Offset, Vec<u8>)>,
     snapshot: Assembler,
-    tickets: u64,
-    // When the keys in force were last known for certain.
-    keys_known: Instant,
-    // Whether the state has once reached the end of the log or a peer's snapshot.
+    last_ticket: u64,
+    // When the API keys were last known to be up to date.
+    keys_confirmed: Instant,
+    // Whether the state has ever reached the end of the log or been restored from a peer.
     caught_up: bool,
     was_ready: bool,
     last_view: &'static str,
     member_states: Map<InstanceId, MemberState>,
     next_plan: Instant,
     next_demand: Instant,
-    next_help: Instant,
-    checkpointed: Offset,
-    inbox: VecDeque<Envelope>,
+    next_catch_up: Instant,
+    last_checkpoint: Offset,
+    loopback: VecDeque<Envelope>,
     actions: Vec<Action>,
 }
 
 impl Node {
-    /// Returns a node that knows nothing; `wall` is the time since the Unix epoch at `now`.
+    /// Returns a node with an empty state; `wall` is the time since the Unix epoch at `now`.
     pub fn new(now: Instant, wall: Duration, settings: NodeSettings) -> Self {
         let fleet = Fleet::new(now, &settings);
         Self {
@@ -93,31 +93,31 @@
             state: State::new(settings.genesis.clone()),
             fleet,
             writer: LogWriter::new(settings.id.clone(), settings.incarnation),
-            tokens: TokenDesk::new(settings.token_term),
+            tokens: TokenManager::new(settings.token_term),
             queue: FairQueue::new(settings.max_waiting),
-            waits: Map::default(),
+            wait_estimates: Map::default(),
             requests: RequestTable::default(),
             router: Router::new(settings.zone.clone()),
-            budgets: Map::default(),
-            claims: ClaimDesk::default(),
-            claim_holder: ClaimHolder::default(),
-            servers: ServerDesk::new(settings.report_period, settings.server_timeout),
-            orders: OrderDesk::new(settings.load_timeout),
-            demand: DemandTable::new(settings.demand_period * DEMAND_LIFETIME),
+            retry_budgets: Map::default(),
+            claim_client: ClaimClient::default(),
+            claim_coordinator: ClaimCoordinator::default(),
+            servers: ServerRegistry::new(settings.report_period, settings.server_timeout),
+            orders: OrderManager::new(settings.load_timeout),
+            demand: DemandTable::new(settings.demand_period * DEMAND_PERIODS),
             planner: Planner::default(),
-            recent: VecDeque::new(),
+            recent_records: VecDeque::new(),
             snapshot: Assembler::default(),
-            tickets: 0,
-            keys_known: now,
+            last_ticket: 0,
+            keys_confirmed: now,
             caught_up: false,
             was_ready: false,
             last_view: "",
             member_states: Map::default(),
             next_plan: now,
             next_demand: now,
-            next_help: now,
-            checkpointed: 0,
-            inbox: VecDeque::new(),
+            next_catch_up: now,
+            last_checkpoint: 0,
+            loopback: VecDeque::new(),
             actions: Vec::new(),
             settings,
         }
@@ -128,92 +128,94 @@
         &self.settings
     }
 
-    /// Returns the folded state.
+    /// Returns the state built from the applied records.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Returns the first offset of the control stream that is not applied.
+    /// Returns the first offset of the control stream that is not applied yet.
     pub fn next_offset(&self) -> Offset {
         self.state.next()
     }
 
-    /// Returns how far the view can be trusted.
+    /// Returns how far this instance's view of the log can be trusted.
     pub fn view(&self, now: Instant) -> View {
         self.fleet.view(now)
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether this instance accepts requests from clients.
     pub fn is_ready(&self, now: Instant) -> bool {
-        !self.fleet.is_leaving() && self.knows_keys(now)
+        !self.fleet.is_leaving() && self.can_check_keys(now)
     }
 
-    /// Returns whether the keys in force are known well enough to serve callers.
+    /// Returns whether the API keys are known well enough to authenticate clients.
     ///
-    /// With the log out for everyone nothing can have been withdrawn. When only most members say
-    /// so, the rest may have the log, and the answer holds for a limited time.
-    pub(crate) fn knows_keys(&self, now: Instant) -> bool {
+    /// While every member reports that the log is unreachable, no key can have been withdrawn.
+    /// When only a majority reports it, the other members may still reach the log, so keys are
+    /// accepted for [`NodeSettings::key_grace`] only.
+    pub(crate) fn can_check_keys(&self, now: Instant) -> bool {
         let grace = self.settings.key_grace;
         self.caught_up
             && match self.view(now) {
                 View::Fresh { .. } | View::Outage { complete: true, .. } => true,
-                View::Outage { .. } => now < self.keys_known + grace,
+                View::Outage { .. } => now < self.keys_confirmed + grace,
                 View::CutOff => false,
             }
     }
 
-    /// Returns whether the instance drains.
+    /// Returns whether the instance is draining.
     pub fn is_leaving(&self) -> bool {
         self.fleet.is_leaving()
     }
 
-    /// Returns whether nothing is left to do for a draining instance.
+    /// Returns whether a draining instance has finished all its work.
     pub fn is_drained(&self) -> bool {
         let is_alone = self.fleet.any_peer().is_none();
-        let has_duties = !is_alone && !self.fleet.own_shards().is_empty();
-        self.requests.len() == 0 && self.claims.ends() == 0 && !has_duties
+        let holds_shards = !is_alone && !self.fleet.own_shards().is_empty();
+        self.requests.len() == 0 && self.claim_client.unrecorded() == 0 && !holds_shards
     }
 
-    /// Returns whether this instance may act on a duty shard right now.
+    /// Returns whether this instance holds an effective lease on a shard.
     pub fn holds_shard(&self, now: Instant, shard: Shard) -> bool {
         self.fleet.fence(now, shard).is_some()
     }
 
-    /// Returns the number of accepted requests without an end.
+    /// Returns the number of accepted requests that have no outcome yet.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes the queued actions.
+    /// Removes and returns the queued actions.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes the platform's list of live entry instances.
+    /// Handles the platform's list of live entry instances.
     pub fn on_instances(&mut self, now: Instant, list: &[Contact]) {
         self.fleet.set_list(now, list);
     }
 
-    /// Takes the platform's list of backend servers.
+    /// Handles the platform's list of backend servers.
     pub fn on_servers(&mut self, now: Instant, list: Vec<crate::ListedServer>) {
         self.servers.set_list(list);
-        self.pump(now);
+        self.dispatch_queued(now);
     }
 
-    /// Begins to drain: hands over duties and takes no new ones.
+    /// Starts to drain: hands over held shards and takes no new ones.
     pub fn leave(&mut self, now: Instant) {
         if !self.fleet.is_leaving() {
-            let news = self.fleet.leave(now, self.state.next());
-            for (to, envelope) in news {
+            let messages = self.fleet.leave(now, self.state.next());
+            for (to, envelope) in messages {
                 self.actions.push(Action::Send { to, envelope });
             }
-            self.event(now, Event::new(EventKind::InstanceLeaving));
+            self.emit(now, Event::new(EventKind::InstanceLeaving));
         }
     }
 
-    /// Takes the outcome of a read of the control stream that began at `began`.
+    /// Handles the result of a read of the control stream that began at `began`.
     ///
-    /// Returns whether the records were dropped, so that a checkpoint must be read first.
+    /// Returns whether the log has dropped the needed records, so that a checkpoint must be read
+    /// first.
     pub fn on_control_read(
         &mut self,
         now: Instant,
@@ -224,26 +226,26 @@
             Ok(batch) => batch,
             Err(ReadError::Expired(first)) => return first > self.state.next(),
             Err(ReadError::Unreachable) => {
-                self.ask_for_help(now);
+                self.request_catch_up(now);
                 return false;
             }
         };
         let reaches_end = batch.reaches_end();
-        let brings_news = !batch.records.is_empty();
+        let has_records = !batch.records.is_empty();
         self.apply_records(now, batch.first, batch.records);
         let next = self.state.next();
-        self.fleet.note_log_read(began, next, reaches_end);
+        self.fleet.on_log_read(began, next, reaches_end);
         self.caught_up |= reaches_end;
-        if brings_news {
+        if has_records {
             self.after_apply(now);
         }
         false
     }
 
-    /// Takes a chunk from the checkpoint stream.
+    /// Handles a chunk from the checkpoint stream.
     ///
-    /// Returns whether the chunk completed a checkpoint that was used. A torn or competing one is
-    /// harmless.
+    /// Returns whether the chunk completed a checkpoint that replaced the state. Incomplete and
+    /// interleaved checkpoints are ignored.
     pub fn on_checkpoint_chunk(&mut self, now: Instant, bytes: &[u8]) -> bool {
         let Ok(chunk) = prost::Message::decode(bytes) else {
             return false;
@@ -254,9 +256,9 @@
         match restore(&bytes, &self.settings.genesis) {
             Ok(state) if state.next() > self.state.next() => {
                 self.state = state;
-                self.checkpointed = self.state.next();
-                self.recent.clear();
-                self.fleet.note_applied(self.state.next());
+                self.last_checkpoint = self.state.next();
+                self.recent_records.clear();
+                self.fleet.set_applied(self.state.next());
                 self.after_apply(now);
                 true
             }
@@ -264,62 +266,63 @@
         }
     }
 
-    /// Takes the outcome of an append.
+    /// Handles the result of an append.
     pub fn on_appended(&mut self, now: Instant, ticket: u64, result: Result<Offset, AppendError>) {
-        self.claim_holder.on_appended(now, ticket, result);
+        self.claim_coordinator.on_appended(now, ticket, result);
         if self.writer.on_appended(now, ticket, result) {
             self.fleet.restore();
         }
-        self.run_claims(now);
+        self.drive_claims(now);
         self.flush(now);
     }
 
-    /// Takes the outcome of a read of a claim stream.
+    /// Handles the result of a read of a claim stream.
     pub fn on_claims_read(
         &mut self,
         now: Instant,
         stream: &str,
         result: Result<LogBatch, ReadError>,
     ) {
-        self.claim_holder.on_read(now, stream, result);
-        self.run_claims(now);
+        self.claim_coordinator.on_read(now, stream, result);
+        self.drive_claims(now);
         self.flush(now);
     }
 
-    /// Lets time pass; call it every few tens of milliseconds.
+    /// Handles everything that is due at `now`; must be called every few tens of milliseconds.
     pub fn tick(&mut self, now: Instant) {
         let probes = self.fleet.tick(now, self.state.next());
         for (to, envelope) in probes {
             self.actions.push(Action::Send { to, envelope });
         }
         self.fleet.refresh(now, &self.state);
-        self.note_views(now);
-        self.run_duties(now);
-        self.run_tokens(now);
-        self.run_claims(now);
+        self.track_view(now);
+        self.run_coordination(now);
+        self.request_tokens(now);
+        self.drive_claims(now);
         self.expire_requests(now);
-        self.tell_demand(now);
-        self.pump(now);
+        self.send_demand(now);
+        self.dispatch_queued(now);
         self.flush(now);
     }
 
-    /// Returns the standing of this instance on a shard.
-    pub(crate) fn standing(&self, now: Instant, shard: Shard) -> Standing {
-        self.fleet.standing(now, shard)
+    /// Returns the state of this instance's lease on a shard.
+    pub(crate) fn lease_state(&self, now: Instant, shard: Shard) -> Standing {
+        self.fleet.lease_state(now, shard)
     }
 
-    /// Returns the requests waiting and running for a model, as told to its holder.
-    pub(crate) fn demand_of(&self, now: Instant, model: &str) -> (u32, u32) {
+    /// Returns the numbers of waiting and running requests for a model, as reported to its lease
+    /// holder.
+    pub(crate) fn model_demand(&self, now: Instant, model: &str) -> (u32, u32) {
         let waiting = self.demand.waiting(now, model);
         (waiting, self.demand.running(now, model))
     }
 
-    /// Returns why a wanted model is not being loaded.
+    /// Returns why a requested model is not being loaded.
     pub(crate) fn placement_reason(&self, model: &str) -> Option<&str> {
         self.planner.reason(model)
     }
 
-    /// Returns this instance's own part of its status.
+    /// Returns the status of the instance itself.
     pub(crate) fn instance_status(&self, now: Instant) -> InstanceStatus {
         let member = |member: &Member| {
             let state = format!("{:?}", member.news.state).to_lowercase();
@@ -336,30 +339,31 @@
             contact_ms: contact.map(|age| age.as_millis() as u64),
             next_offset: self.state.next(),
             requests: self.requests.len(),
-            claims: self.claim_holder.claims(),
+            claims: self.claim_coordinator.claims(),
             members: self.fleet.membership().all().map(member).collect(),
         }
     }
 
-    /// Returns the open instances for callers in `zone`, best first.
+    /// Returns the instances that accept clients, those preferred for `zone` first.
     ///
-    /// The order is stable for one organisation and model, so that their traffic meets few
-    /// instances.
+    /// Instances of the zone come first. Within a zone the order depends only on `affinity`, so
+    /// that the traffic of one organisation and model goes to few instances.
     pub fn ranked_instances(&self, now: Instant, zone: &str, affinity: &str) -> Vec<InstanceId> {
         let item = u64::from(shard_of(affinity, Shard::MAX));
-        let mut open = self.fleet.open_members();
+        let mut open = self.fleet.ready_members();
         if !self.is_ready(now) {
             open.retain(|(id, _)| *id != self.settings.id);
         }
         open.sort_by_key(|(id, member_zone)| {
-            let away = member_zone != zone;
-            (away, std::cmp::Reverse(rendezvous_rank(item, id)))
+            let is_remote = member_zone != zone;
+            (is_remote, std::cmp::Reverse(rendezvous_rank(item, id)))
         });
         open.into_iter().map(|(id, _)| id).collect()
     }
 
     fn apply_records(&mut self, now: Instant, first: Offset, records: Vec<Vec<u8>>) {
-        // A gap means that records are missing; applying what follows would diverge for good.
+        // Records are missing before `first`: applying the batch would make this state diverge
+        // from that of the other instances permanently.
         if first > self.state.next() {
             return;
         }
@@ -368,10 +372,10 @@
                 continue;
             }
             let outcome = self.state.apply_bytes(offset, &bytes);
-            self.note_record(now, offset, &bytes, outcome);
-            self.recent.push_back((offset, bytes));
-            if self.recent.len() > MAX_RECENT {
-                self.recent.pop_front();
+            self.on_record(now, offset, &bytes, outcome);
+            self.recent_records.push_back((offset, bytes));
+            if self.recent_records.len() > MAX_RECENT_RECORDS {
+                self.recent_records.pop_front();
             }
         }
     }
@@ -380,19 +384,19 @@
         self.fleet.refresh(now, &self.state);
         self.orders.retain(now, &self.state);
         self.servers.retain(&self.state);
-        self.pump(now);
-        // What the records call for, such as the order that follows a decision, is done at once.
+        self.dispatch_queued(now);
+        // Follow-up work, such as the load order after a placement decision, starts at once.
         self.next_plan = now;
-        self.run_duties(now);
+        self.run_coordination(now);
         self.flush(now);
     }
 
-    // Sends the next group of records and delivers messages to this instance itself.
+    // Appends the next group of records and delivers the messages that this instance sent to itself.
     fn flush(&mut self, now: Instant) {
         let next = self.state.next();
-        let append = self.writer.tick(now, next, &mut self.tickets);
+        let append = self.writer.tick(now, next, &mut self.last_ticket);
         self.actions.extend(append);
-        while let Some(envelope) = self.inbox.pop_front() {
+        while let Some(envelope) = self.loopback.pop_front() {
             self.receive_body(now, envelope);
         }
     }
@@ -400,7 +404,7 @@
     fn send(&mut self, now: Instant, to: &InstanceId, body: Message) {
         let envelope = self.fleet.envelope(now, self.state.next(), body);
         if *to == self.settings.id {
-            self.inbox.push_back(envelope);
+            self.loopback.push_back(envelope);
         } else if let Some(to) = self.fleet.contact(to) {
             self.actions.push(Action::Send { to, envelope });
         }
@@ -410,7 +414,7 @@
         self.wall_start + now.saturating_duration_since(self.started)
     }
 
-    fn event(&mut self, now: Instant, event: Event) {
+    fn emit(&mut self, now: Instant, event: Event) {
         let at_us = self.wall(now).as_micros() as u64;
         let event = event.stamped(&self.settings.id, at_us);
         self.actions.push(Action::Event(event));
@@ -423,23 +427,23 @@
         format!("{id}/{incarnation}/{request}")
     }
 
-    fn note_views(&mut self, now: Instant) {
+    fn track_view(&mut self, now: Instant) {
         let view = self.view(now);
         if matches!(
             view,
             View::Fresh { .. } | View::Outage { complete: true, .. }
         ) {
-            self.keys_known = now;
+            self.keys_confirmed = now;
         }
         let view = view.name();
         if view != self.last_view {
             self.last_view = view;
-            self.event(now, Event::new(EventKind::ViewChanged).with_detail(view));
+            self.emit(now, Event::new(EventKind::ViewChanged).with_detail(view));
         }
         let ready = self.is_ready(now);
         if ready && !self.was_ready {
             let offset = self.state.next();
-            self.event(
+            self.emit(
                 now,
                 Event::new(EventKind::InstanceReady).with_offset(offset),
             );
@@ -454,7 +458,7 @@
             .collect();
         for (id, state) in changed {
             let detail = format!("{id} {state:?}");
-            self.event(
+            self.emit(
                 now,
                 Event::new(EventKind::MemberChanged).with_detail(detail),
             );
@@ -462,7 +466,7 @@
         }
     }
 
-    fn note_record(
+    fn on_record(
         &mut self,
         now: Instant,
         offset: Offset,
@@ -475,7 +479,7 @@
         if let Err(reason) = outcome {
             let detail = format!("{}: {reason}", record.writer);
             let event = Event::new(EventKind::RecordRejected).with_offset(offset);
-            self.event(now, event.with_detail(detail));
+            self.emit(now, event.with_detail(detail));
             return;
         }
         let event = match record.body {
@@ -493,7 +497,7 @@
             }
             Some(Body::Settle(settle)) => {
                 let kind = if self.state.ledger().replica(settle.replica).is_some() {
-                    self.orders.note_loaded(now, settle.replica);
+                    self.orders.reset_first_seen(now, settle.replica);
                     EventKind::ReplicaLoaded
                 } else {
                     EventKind::ReplicaGone
@@ -511,6 +515,6 @@
             Some(Body::Suspect(_)) => Event::new(EventKind::ServerCrashed),
             None => return,
         };
-        self.event(now, event.with_offset(offset));
+        self.emit(now, event.with_offset(offset));
     }
 }
