--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -57,18 +57,18 @@
     /// # Errors
     ///
     /// Returns the refusal to send to the client.
-    fn decode_call(head: &request::Parts) -> Result<RequestHead, Refusal>;
+    fn decode_request(head: &request::Parts) -> Result<RequestHead, Refusal>;
 
     /// Encodes the request to send to a server.
     fn encode_attempt(
         head: &request::Parts,
-        call: &RequestHead,
+        request: &RequestHead,
         attempt: &Attempt<'_>,
         body: Bytes,
     ) -> Request<http_body_util::Full<Bytes>>;
 
-    /// Decodes the head of a server's response to `call`.
-    fn decode_response(head: &response::Parts, call: &RequestHead) -> ResponseHead;
+    /// Decodes the head of a server's response to `request`.
+    fn decode_response(head: &response::Parts, request: &RequestHead) -> ResponseHead;
 
     /// Returns the headers of a server's response that are forwarded to the client.
     fn relay_headers(headers: &HeaderMap) -> HeaderMap;
--- a/crates/apricotwell_gateway/src/handler.rs
+++ b/crates/apricotwell_gateway/src/handler.rs
@@ -39,7 +39,7 @@
     /// Request body as received.
     pub body: BufferedBody,
     /// Decoded request head.
-    pub call: RequestHead,
+    pub request: RequestHead,
     /// Result of the admission.
     pub admission: Admission,
     /// Servers excluded from further attempts.
@@ -82,14 +82,14 @@
         gateway: &Rc<Gateway<P>>,
         head: request::Parts,
         body: BufferedBody,
-        call: RequestHead,
+        request: RequestHead,
         admission: Admission,
     ) -> Self {
         Self {
             gateway: Rc::clone(gateway),
             head,
             body,
-            call,
+            request,
             admission,
             excluded: Vec::new(),
             runs: 0,
@@ -184,8 +184,12 @@
         let mut excluded = self.excluded.clone();
         excluded.push(server.clone());
         let dispatcher = self.gateway.dispatcher.borrow();
-        let choice =
-            dispatcher.select_server(self.gateway.now(), &self.admission, &self.call, &excluded);
+        let choice = dispatcher.select_server(
+            self.gateway.now(),
+            &self.admission,
+            &self.request,
+            &excluded,
+        );
         matches!(choice, RoutingDecision::Send(..))
     }
 
@@ -243,7 +247,7 @@
             let now = self.gateway.now();
             let choice = {
                 let dispatcher = self.gateway.dispatcher.borrow();
-                dispatcher.select_server(now, &self.admission, &self.call, &self.excluded)
+                dispatcher.select_server(now, &self.admission, &self.request, &self.excluded)
             };
             match choice {
                 RoutingDecision::Send(server, address) => {
@@ -294,9 +298,9 @@
             priority: None,
             last_event,
         };
-        let request = P::ClientProtocol::encode_attempt(
+        let server_request = P::ClientProtocol::encode_attempt(
             &self.head,
-            &self.call,
+            &self.request,
             &attempt,
             self.body.bytes.clone(),
         );
@@ -305,7 +309,7 @@
         } else {
             Reuse::Within(MAX_FRESH_IDLE)
         };
-        let response = self.gateway.pool.send(address, request, reuse);
+        let response = self.gateway.pool.send(address, server_request, reuse);
         let result = tokio::time::timeout(self.head_timeout(), response).await;
         self.classify_response(result, flight)
     }
@@ -317,8 +321,8 @@
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let prompts = &mut dispatcher.prompts;
-        let tokens = prompts.uncached_tokens(server, model, &self.call.prompt);
-        prompts.record_sent(server, model, &self.call.prompt);
+        let tokens = prompts.uncached_tokens(server, model, &self.request.prompt);
+        prompts.record_sent(server, model, &self.request.prompt);
         tokens
     }
 
@@ -344,7 +348,7 @@
                 return AttemptOutcome::Lost("no response in time".to_owned());
             }
         };
-        let head = P::ClientProtocol::decode_response(&response.head, &self.call);
+        let head = P::ClientProtocol::decode_response(&response.head, &self.request);
         if head.misdirected {
             self.record_rejection(&flight.server);
             return AttemptOutcome::NotRun("misdirected".to_owned());
@@ -412,7 +416,7 @@
 
     fn log_wait(&self) {
         Event::new("request_waits")
-            .with("request", self.call.attempt.as_str())
+            .with("request", self.request.attempt.as_str())
             .with("model", self.model_name())
             .with_time("patience_ms", self.wait_remaining())
             .log();
@@ -427,7 +431,7 @@
 
     fn log_attempt(&self, server: &ServerId, outcome: &str, reason: &str) {
         Event::new("attempt_ended")
-            .with("request", self.call.attempt.as_str())
+            .with("request", self.request.attempt.as_str())
             .with("server", &**server)
             .with("outcome", outcome)
             .with("reason", reason)
@@ -441,7 +445,7 @@
         let time = now.saturating_duration_since(self.admission.arrived);
         self.gateway.metrics.count_request(outcome);
         Event::new("request_ended")
-            .with("request", self.call.attempt.as_str())
+            .with("request", self.request.attempt.as_str())
             .with("route", &*self.admission.route.name)
             .with("server", server.map_or("", |server| &**server))
             .with("outcome", outcome)
--- a/crates/apricotwell_gateway/src/relay.rs
+++ b/crates/apricotwell_gateway/src/relay.rs
@@ -60,7 +60,7 @@
         flight: FlightGuard<P>,
     ) -> Self {
         Self {
-            last_event: handler.call.last_event,
+            last_event: handler.request.last_event,
             status: response.head.status.as_u16(),
             handler,
             response: Some((response, flight)),
@@ -144,7 +144,7 @@
         match resumed {
             Ok((response, flight)) if response.head.status.as_u16() == self.status => {
                 crate::events::Event::new("stream_resumed")
-                    .with("request", self.handler.call.attempt.as_str())
+                    .with("request", self.handler.request.attempt.as_str())
                     .with("server", &*flight.server)
                     .with("after_event", self.last_event)
                     .with("reason", reason)
@@ -156,7 +156,7 @@
             Err(refusal) => {
                 log::info!(
                     "stream {} not resumed: {}",
-                    self.handler.call.attempt,
+                    self.handler.request.attempt,
                     refusal.message
                 );
                 false
--- a/crates/apricotwell_gateway/src/requests.rs
+++ b/crates/apricotwell_gateway/src/requests.rs
@@ -23,7 +23,7 @@
 
 /// Size limit of a non-streaming response, which is buffered in memory.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Time limit for receiving a request body, unless the request's deadline is shorter.
+/// Time limit for receiving a request body, unless the client's timeout is shorter.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time after a request to stop during which requests are still admitted. A request admitted later
 /// might not finish within the grace period.
@@ -90,20 +90,20 @@
 where
     P: Platform,
 {
-    let call = P::ClientProtocol::decode_call(&head)?;
-    let admitted = read_and_admit(gateway, &head, body, &call).await;
+    let request = P::ClientProtocol::decode_request(&head)?;
+    let admitted = read_and_admit(gateway, &head, body, &request).await;
     if let Err(refusal) = &admitted {
-        log_refusal(gateway, &call, refusal);
+        log_refusal(gateway, &request, refusal);
     }
     let (body, admission) = admitted?;
-    Ok(RequestHandler::new(gateway, head, body, call, admission))
+    Ok(RequestHandler::new(gateway, head, body, request, admission))
 }
 
 async fn read_and_admit<P>(
     gateway: &Rc<Gateway<P>>,
     head: &request::Parts,
     body: Incoming,
-    call: &RequestHead,
+    request: &RequestHead,
 ) -> Result<(BufferedBody, Admission), Refusal>
 where
     P: Platform,
@@ -118,10 +118,10 @@
         );
     }
     let limit = body_limit(gateway);
-    let body = read_body(head, body, limit, &gateway.body_budget, call.timeout).await?;
+    let body = read_body(head, body, limit, &gateway.body_budget, request.timeout).await?;
     let now = gateway.now();
     let mut dispatcher = gateway.dispatcher.borrow_mut();
-    let admission = dispatcher.admit(now, call)?;
+    let admission = dispatcher.admit(now, request)?;
     if dispatcher.is_near_limit(now, &admission) {
         gateway.heartbeat_due.notify_one();
     }
@@ -151,7 +151,7 @@
     body: Incoming,
     limit: usize,
     budget: &Budget,
-    deadline: Option<Duration>,
+    timeout: Option<Duration>,
 ) -> Result<BufferedBody, Refusal> {
     let content_length = head
         .headers
@@ -160,7 +160,7 @@
     if content_length.is_some_and(|content_length| content_length > limit) {
         return Err(too_large());
     }
-    let time_limit = deadline.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
+    let time_limit = timeout.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
     let collected = tokio::time::timeout(time_limit, collect(body, limit, budget)).await;
     collected.unwrap_or_else(|_| {
         let text = "the request body was not received in time";
@@ -201,14 +201,11 @@
 }
 
 fn too_large() -> Refusal {
-    Refusal::not_run(
-        RefusalKind::TooLarge,
-        "the request body is larger than the limit",
-    )
+    Refusal::not_run(RefusalKind::TooLarge, "the request body is over the limit")
 }
 
 fn body_budget_exhausted() -> Refusal {
-    let text = "the request bodies being received use too much memory; retry later";
+    let text = "the request bodies in memory are over the limit; retry later";
     Refusal::not_run(RefusalKind::Overloaded, text).with_retry_after(Duration::from_millis(500))
 }
 
@@ -216,7 +213,7 @@
 where
     P: Platform,
 {
-    let last_event = handler.call.last_event;
+    let last_event = handler.request.last_event;
     loop {
         let (server_response, flight) = match handler.first_response(last_event).await {
             Ok(received) => received,
@@ -307,20 +304,20 @@
         dispatcher.refund(now, &handler.admission);
     }
     handler.log_end(refusal.kind.code(), None, refusal.kind.status());
-    log_refusal(&handler.gateway, &handler.call, refusal);
+    log_refusal(&handler.gateway, &handler.request, refusal);
     ClientResponse::Complete(P::ClientProtocol::encode_refusal(refusal))
 }
 
-fn log_refusal<P>(gateway: &Gateway<P>, call: &RequestHead, refusal: &Refusal)
+fn log_refusal<P>(gateway: &Gateway<P>, request: &RequestHead, refusal: &Refusal)
 where
     P: Platform,
 {
     let dispatcher = gateway.dispatcher.borrow();
     let now = gateway.now();
     gateway.metrics.count_request(refusal.kind.code());
-    let requested = call.requested_model.as_ref();
+    let requested = request.requested_model.as_ref();
     Event::new("request_refused")
-        .with("request", call.attempt.as_str())
+        .with("request", request.attempt.as_str())
         .with("reason", refusal.kind.code())
         .with("ending", refusal.ending.as_str())
         .with("message", refusal.message.as_str())
