--- a/crates/apricotwell_dispatch/src/backends.rs
+++ b/crates/apricotwell_dispatch/src/backends.rs
@@ -1,4 +1,4 @@
-//! Backend servers as one instance sees them.
+//! Backend servers: their list entries, model inventories, load and failure rates.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,73 +9,77 @@
 use crate::catalog::ServiceId;
 use crate::model::{Holdings, ModelName, RequestedModel};
 
-/// Share of a new outcome in a server's failure rate.
+/// Weight of a new outcome in the moving average of a server's failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Time in which an unused failure rate halves, so that a server gets another try.
+/// Half-life of a failure rate without new outcomes, so that a failed server is tried again.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
-/// Time over which the tokens sent to a server fade from its load.
-const RECENT: Duration = Duration::from_millis(600);
-/// Age beyond which the lease holder's word on what servers hold is not used.
-const STOCK_LIFETIME: Duration = Duration::from_secs(3);
-/// Time for which a model that a server denied is not sent to it.
-const DENIAL_LIFETIME: Duration = Duration::from_millis(150);
+/// Time constant of the exponential decay of the tokens recently sent to a server.
+const RECENT_TOKENS_DECAY: Duration = Duration::from_millis(600);
+/// Age from which on an inventory from the lease holder is no longer used.
+const INVENTORY_LIFETIME: Duration = Duration::from_secs(3);
+/// Time for which a model is not requested from a server that rejected a request for it.
+const REJECTION_LIFETIME: Duration = Duration::from_millis(150);
 
-/// Entry of the platform's list of servers.
+/// A server's entry in the platform's server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendEntry {
-    /// Server.
+    /// Server id.
     pub id: ServerId,
-    /// Service.
+    /// Service that the server runs.
     pub service: ServiceId,
     /// Address for requests and orders.
     pub address: SocketAddr,
-    /// Zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Requests that it runs at once.
+    /// Requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the server accepts no new requests.
     pub draining: bool,
-    /// Time until it is gone, if it was given notice.
+    /// Time until the server shuts down, if its shutdown was announced.
     pub remaining: Option<Duration>,
-    /// Start of its process, in milliseconds since the epoch.
+    /// Start time of the server's process, in milliseconds since the Unix epoch; identifies the process.
     pub started_ms: u64,
-    /// What it holds.
+    /// Models that the server holds.
     pub holdings: Holdings,
 }
 
-/// Load that is under way on a server.
+/// A model load in progress on a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Loading {
-    /// Model.
+    /// Model being loaded.
     pub model: ModelName,
-    /// When it should end.
+    /// Expected end of the load.
     pub ends_at: Instant,
 }
 
-/// Server with what this instance knows of it.
+/// State of a server as this instance knows it.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Newest entry.
+    /// Latest list entry.
     pub entry: BackendEntry,
-    /// What it holds, from the newer of the entry and the lease holder's word.
+    /// Models that the server holds, according to the lease holder's inventory if there is a recent one,
+    /// otherwise to the list entry.
     pub holdings: Holdings,
-    /// Load under way.
+    /// Model load in progress.
     pub loading: Option<Loading>,
-    /// Requests of this instance in flight.
+    /// Requests in flight from this instance.
     pub own_requests: u32,
-    others: Map<InstanceId, u32>,
-    // Tokens that this instance sent here lately, fading with `RECENT`.
-    recent: f64,
-    recent_at: Instant,
-    // When the lease holder last told of this server.
-    told: Option<Instant>,
-    // Fence of that holder.
+    // Requests in flight from other instances, by their heartbeats.
+    peer_requests: Map<InstanceId, u32>,
+    // Prompt tokens recently sent by this instance, as of `recent_tokens_at`.
+    recent_tokens: f64,
+    recent_tokens_at: Instant,
+    // When the last inventory from the lease holder was received.
+    inventory_at: Option<Instant>,
+    // Fencing token of that inventory.
     fence: Fence,
-    denied: Option<(RequestedModel, Instant)>,
-    failure: f64,
-    failed: Instant,
-    /// Until when a removed entry is still used.
-    ends: Option<Instant>,
+    // Model that the server last rejected, and when.
+    rejected: Option<(RequestedModel, Instant)>,
+    // Failure rate as of `failure_rate_at`.
+    failure_rate: f64,
+    failure_rate_at: Instant,
+    // When a server that was removed from the list is no longer used.
+    expires_at: Option<Instant>,
 }
 
 impl Backend {
@@ -85,53 +89,58 @@
             entry,
             loading: None,
             own_requests: 0,
-            others: Map::default(),
-            recent: 0.0,
-            recent_at: now,
-            told: None,
+            peer_requests: Map::default(),
+            recent_tokens: 0.0,
+            recent_tokens_at: now,
+            inventory_at: None,
             fence: 0,
-            denied: None,
-            failure: 0.0,
-            failed: now,
-            ends: None,
+            rejected: None,
+            failure_rate: 0.0,
+            failure_rate_at: now,
+            expires_at: None,
         }
     }
 
-    /// Returns whether new work may be sent.
+    /// Returns whether new requests may be sent.
     pub fn is_usable(&self, now: Instant) -> bool {
-        !self.entry.draining && self.ends.is_none_or(|ends| now < ends)
+        !self.entry.draining && self.expires_at.is_none_or(|expiry| now < expiry)
     }
 
-    /// Returns the requests in flight from all instances.
+    /// Returns the number of requests in flight from all instances.
     pub fn in_flight(&self) -> u32 {
-        self.own_requests + self.others.values().sum::<u32>()
+        self.own_requests + self.peer_requests.values().sum::<u32>()
     }
 
-    /// Returns the tokens of prompts that this instance sent lately, fading with time.
+    /// Returns the prompt tokens that this instance recently sent, decayed over time.
     pub fn recent_tokens(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.recent_at).as_secs_f64();
-        self.recent * (-age / RECENT.as_secs_f64()).exp()
+        let age = now
+            .saturating_duration_since(self.recent_tokens_at)
+            .as_secs_f64();
+        self.recent_tokens * (-age / RECENT_TOKENS_DECAY.as_secs_f64()).exp()
     }
 
-    /// Returns the share of recent requests that failed.
+    /// Returns the share of recent requests that failed, as a moving average.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.failed).as_secs_f64();
-        self.failure * 0.5f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
+        let age = now
+            .saturating_duration_since(self.failure_rate_at)
+            .as_secs_f64();
+        self.failure_rate * 0.5f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
-    /// Returns whether the server can run a request for `wanted` now.
-    pub fn serves(&self, now: Instant, wanted: Option<&RequestedModel>) -> bool {
-        let Some(wanted) = wanted else {
+    /// Returns whether the server can run a request for the requested model now; any server can if none
+    /// is requested.
+    pub fn serves(&self, now: Instant, requested: Option<&RequestedModel>) -> bool {
+        let Some(requested) = requested else {
             return true;
         };
-        let denied = self.denied.as_ref().is_some_and(|(denied, at)| {
-            denied == wanted && now.saturating_duration_since(*at) < DENIAL_LIFETIME
+        let is_rejected = self.rejected.as_ref().is_some_and(|(rejected, at)| {
+            rejected == requested && now.saturating_duration_since(*at) < REJECTION_LIFETIME
         });
-        !denied && self.holdings.serves(wanted)
+        !is_rejected && self.holdings.serves(requested)
     }
 }
 
-/// All servers.
+/// All servers in the list, and removed ones that are still in use.
 #[derive(Debug, Default)]
 pub struct BackendTable {
     servers: Map<ServerId, Backend>,
@@ -148,14 +157,14 @@
         self.servers.values()
     }
 
-    /// Returns the servers of a service that take new work.
+    /// Returns the servers of a service that accept new requests.
     pub fn usable(&self, now: Instant, service: &str) -> impl Iterator<Item = &Backend> {
         self.servers
             .values()
             .filter(move |server| *server.entry.service == *service && server.is_usable(now))
     }
 
-    /// Applies an entry of the list.
+    /// Applies an entry of the server list, unless it is from an earlier process.
     pub fn apply_entry(&mut self, now: Instant, entry: BackendEntry) {
         let Some(server) = self.servers.get_mut(&entry.id) else {
             self.servers
@@ -172,11 +181,11 @@
             server.own_requests = own;
             return;
         }
-        server.ends = None;
-        let told = server
-            .told
-            .is_some_and(|told| now.saturating_duration_since(told) < STOCK_LIFETIME);
-        if !told {
+        server.expires_at = None;
+        let has_inventory = server
+            .inventory_at
+            .is_some_and(|at| now.saturating_duration_since(at) < INVENTORY_LIFETIME);
+        if !has_inventory {
             server.holdings = entry.holdings.clone();
             server.loading = None;
         } else {
@@ -186,30 +195,30 @@
         server.entry = entry;
     }
 
-    /// Returns whether an entry says something new.
+    /// Returns whether an entry differs from the known one.
     pub fn is_changed(&self, entry: &BackendEntry) -> bool {
         self.servers
             .get(&entry.id)
-            .is_none_or(|server| server.ends.is_some() || server.entry != *entry)
+            .is_none_or(|server| server.expires_at.is_some() || server.entry != *entry)
     }
 
-    /// Notes that a server left the list; `keep` bounds how long it is still used.
+    /// Marks a server as removed from the list; it is still used for the time `keep`, if there is one.
     pub fn mark_removed(&mut self, now: Instant, id: &str, keep: Option<Duration>) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.ends = Some(now + keep.unwrap_or_default());
+            server.expires_at = Some(now + keep.unwrap_or_default());
         }
     }
 
-    /// Forgets servers that left and have nothing in flight.
+    /// Drops removed servers without requests in flight, and outdated inventories.
     pub fn expire(&mut self, now: Instant) {
         self.servers.retain(|_, server| {
-            server.own_requests > 0 || server.ends.is_none_or(|ends| now < ends)
+            server.own_requests > 0 || server.expires_at.is_none_or(|expiry| now < expiry)
         });
-        let is_old = |told: Instant| now.saturating_duration_since(told) >= STOCK_LIFETIME;
+        let is_old = |at: Instant| now.saturating_duration_since(at) >= INVENTORY_LIFETIME;
         for server in self.servers.values_mut() {
-            // Without the lease holder's word the list's counts.
-            if server.told.is_some_and(is_old) {
-                server.told = None;
+            // Without a recent inventory the list entry applies.
+            if server.inventory_at.is_some_and(is_old) {
+                server.inventory_at = None;
                 server.loading = None;
                 server.holdings = server.entry.holdings.clone();
             }
@@ -218,22 +227,25 @@
 
     /// Returns the ids of all servers in the list.
     pub fn listed_ids(&self) -> Vec<ServerId> {
-        let listed = self.servers.values().filter(|server| server.ends.is_none());
+        let listed = self
+            .servers
+            .values()
+            .filter(|server| server.expires_at.is_none());
         listed.map(|server| server.entry.id.clone()).collect()
     }
 
-    /// Applies the lease holder's word on what a server holds.
-    pub fn apply_inventory(&mut self, now: Instant, fence: Fence, stock: &ServerStock) {
-        let Some(server) = self.servers.get_mut(stock.server.as_str()) else {
+    /// Applies a server's inventory from the lease holder, unless a higher fencing token was seen.
+    pub fn apply_inventory(&mut self, now: Instant, fence: Fence, inventory: &ServerStock) {
+        let Some(server) = self.servers.get_mut(inventory.server.as_str()) else {
             return;
         };
-        if stock.born != server.entry.started_ms || fence < server.fence {
+        if inventory.born != server.entry.started_ms || fence < server.fence {
             return;
         }
         server.fence = fence;
-        server.told = Some(now);
-        server.holdings.orders = stock.orders;
-        server.holdings.models = stock
+        server.inventory_at = Some(now);
+        server.holdings.orders = inventory.orders;
+        server.holdings.models = inventory
             .models
             .iter()
             .map(|held| {
@@ -241,60 +253,60 @@
                 (held.model.as_str().into(), adapters.collect())
             })
             .collect();
-        server.loading = (!stock.loading.is_empty()).then(|| Loading {
-            model: stock.loading.as_str().into(),
-            ends_at: now + Duration::from_millis(u64::from(stock.remaining)),
+        server.loading = (!inventory.loading.is_empty()).then(|| Loading {
+            model: inventory.loading.as_str().into(),
+            ends_at: now + Duration::from_millis(u64::from(inventory.remaining)),
         });
     }
 
-    /// Applies what another instance has in flight.
+    /// Sets the requests that another instance has in flight, by server.
     pub fn set_peer_requests(&mut self, instance: &InstanceId, requests: &Map<&str, u32>) {
         for (id, server) in &mut self.servers {
             match requests.get(&**id) {
-                Some(count) => server.others.insert(instance.clone(), *count),
-                None => server.others.remove(instance),
+                Some(count) => server.peer_requests.insert(instance.clone(), *count),
+                None => server.peer_requests.remove(instance),
             };
         }
     }
 
-    /// Forgets what an instance that is gone had in flight.
+    /// Removes the requests in flight of an instance that timed out.
     pub fn remove_instance(&mut self, instance: &str) {
         for server in self.servers.values_mut() {
-            server.others.remove(instance);
+            server.peer_requests.remove(instance);
         }
     }
 
-    /// Notes a request given to a server, with the tokens of its prompt that have to be read.
+    /// Counts a request that is sent to a server; `tokens` are its uncached prompt tokens.
     pub fn begin_request(&mut self, now: Instant, id: &str, tokens: f64) {
         if let Some(server) = self.servers.get_mut(id) {
             server.own_requests += 1;
-            server.recent = server.recent_tokens(now) + tokens;
-            server.recent_at = now;
+            server.recent_tokens = server.recent_tokens(now) + tokens;
+            server.recent_tokens_at = now;
         }
     }
 
-    /// Notes the end of a request on a server.
+    /// Counts the end of a request on a server.
     pub fn end_request(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.own_requests = server.own_requests.saturating_sub(1);
         }
     }
 
-    /// Notes whether a server answered as it should.
+    /// Updates a server's failure rate with the outcome of a request.
     pub fn record_outcome(&mut self, now: Instant, id: &str, failed: bool) {
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
         let outcome = if failed { 1.0 } else { 0.0 };
-        let before = server.failure_rate(now);
-        server.failure = before + (outcome - before) * FAILURE_WEIGHT;
-        server.failed = now;
+        let previous = server.failure_rate(now);
+        server.failure_rate = previous + (outcome - previous) * FAILURE_WEIGHT;
+        server.failure_rate_at = now;
     }
 
-    /// Notes that a server denied to hold what was wanted.
-    pub fn record_rejection(&mut self, now: Instant, id: &str, wanted: &RequestedModel) {
+    /// Records that a server rejected a request for a model, usually because it doesn't hold it.
+    pub fn record_rejection(&mut self, now: Instant, id: &str, requested: &RequestedModel) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.denied = Some((wanted.clone(), now));
+            server.rejected = Some((requested.clone(), now));
         }
     }
 }
--- a/crates/apricotwell_dispatch/src/catalog.rs
+++ b/crates/apricotwell_dispatch/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Routes, services and organisations in force.
+//! One version of the configuration: routes, services and organisations.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,35 +8,36 @@
 
 use crate::model::ModelName;
 
-/// Name of a service, that is of a group of backend servers that run the same software.
+/// Name of a service: a group of backend servers that run the same software.
 pub type ServiceId = Arc<str>;
 
-/// What may be repeated on a route.
+/// Retry and streaming semantics of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run any number of times.
+    /// A request may run any number of times.
     Idempotent,
-    /// Runs at most once.
+    /// A request runs at most once.
     NonIdempotent,
-    /// Streams events and runs at most once.
+    /// The response is a stream of events; a request runs at most once.
     Stream,
-    /// Streams events; may run again from the last event that the caller has.
+    /// The response is a stream of events; a request may run again from the last event that the client
+    /// received.
     ResumableStream,
 }
 
 impl RouteKind {
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
-    /// Returns whether a request that may have run can be sent again.
+    /// Returns whether a request that may have run can be retried.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
-/// Route from a host and path prefix to services.
+/// A route from a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name, for logs.
@@ -45,29 +46,29 @@
     pub host: String,
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Retry and streaming semantics.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time that a request may take.
     pub timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is on time.
+    /// Target latency of a response, or of a stream's first event.
     pub target: Duration,
-    /// Longest pause between events that is on time.
+    /// Target for the longest pause between two events of a stream.
     pub gap_target: Duration,
-    /// Rank among routes; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services with their weights; never empty.
+    /// Services with their traffic weights; never empty.
     pub services: Vec<(ServiceId, u32)>,
-    /// Backend servers to which one request may be sent.
+    /// Maximum number of backend servers that one request is sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub anonymous: bool,
 }
 
-/// Least time after which callers abandon a silent stream.
-const LEAST_PATIENCE: Duration = Duration::from_secs(2);
+/// Shortest time without events after which a client abandons a stream.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Route {
-    /// Returns the service for a request, drawn by weight; `draw` is any evenly spread number.
+    /// Returns the service for a request, selected by weight; `draw` must be uniformly distributed.
     pub fn service(&self, draw: u64) -> &ServiceId {
         let total: u64 = self
             .services
@@ -84,93 +85,93 @@
         &self.services[0].0
     }
 
-    /// Returns how long a caller waits for the next event, or for the whole of a plain answer.
+    /// Returns how long a client waits for the next event of a stream, or for a whole response.
     pub fn silence_timeout(&self) -> Duration {
         if !self.kind.is_stream() {
             return self.timeout;
         }
-        LEAST_PATIENCE
+        MIN_SILENCE_TIMEOUT
             .max(self.target * 4)
             .max(self.gap_target * 8)
             .min(self.timeout)
     }
 }
 
-/// Model that a service can run.
+/// A model that a service can run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSpec {
     /// Name.
     pub name: ModelName,
-    /// Memory of its weights, in MB.
+    /// Size of its weights, in MB.
     pub weights_mb: f64,
-    /// Load from the weight store.
+    /// Time of a load from the weight store.
     pub store_load: Duration,
-    /// Load from the server's own disk.
+    /// Time of a load from the server's disk.
     pub disk_load: Duration,
-    /// Load from the server's own memory.
+    /// Time of a load from the server's memory.
     pub memory_load: Duration,
-    /// Memory of one of its adapters, in MB.
+    /// Size of one of its adapters, in MB.
     pub adapter_mb: f64,
-    /// Adapters, named `a1` and so on.
+    /// Number of adapters, named `a1` and so on.
     pub adapters: u32,
 }
 
-/// What the model engines of a service can hold and load.
+/// Capacity of the model engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Memory for weights and adapters, in MB.
+    /// Memory for weights and adapters of one server, in MB.
     pub memory_mb: f64,
-    /// Adapters held at once.
+    /// Maximum number of adapters that a server holds.
     pub adapter_slots: usize,
-    /// Loads from the weight store a second, over all servers.
+    /// Loads from the weight store per second, over all servers.
     pub loads_per_second: f64,
-    /// Tokens that fit into its KV memory.
+    /// Capacity of the KV cache, in tokens.
     pub kv_tokens: Tokens,
     /// Models by name.
     pub models: BTreeMap<ModelName, ModelSpec>,
 }
 
 impl EngineSpec {
-    /// Returns a model's description.
+    /// Returns the specification of a model.
     pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         self.models.get(name)
     }
 }
 
-/// Service.
+/// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name.
     pub name: ServiceId,
-    /// Model engine, if its servers are model engines.
+    /// Capacity of its servers if they are model engines.
     pub engine: Option<EngineSpec>,
-    /// Connections that one of its servers takes.
+    /// Maximum number of connections to one of its servers.
     pub max_connections: u32,
 }
 
-/// Organisation.
+/// An organisation and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
     /// Name.
     pub name: OrgId,
-    /// Rank of its requests, in place of the route's.
+    /// Priority of its requests, which overrides the route's.
     pub priority: Option<u8>,
-    /// Tokens a second, 0 for no limit.
+    /// Tokens per second; 0 for no limit.
     pub rate: Tokens,
-    /// Tokens at once.
+    /// Burst size, in tokens.
     pub burst: Tokens,
-    /// Tokens of a request that names none.
+    /// Tokens charged for a request that doesn't state its size.
     pub default_tokens: Tokens,
 }
 
-/// Bounds on what callers may send.
+/// Limits on client connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Bytes of a head.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
@@ -186,22 +187,23 @@
     }
 }
 
-/// One version of the configuration.
+/// One version of the configuration, indexed for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// Version; a higher one replaces a lower one.
+    /// Version number; a higher one replaces a lower one.
     pub version: u64,
-    /// Bounds on what callers may send.
+    /// Limits on client connections and requests.
     pub limits: ClientLimits,
+    // By host and path prefix.
     routes: Map<String, Map<String, Arc<Route>>>,
     services: Map<ServiceId, Service>,
     organisations: Map<OrgId, Arc<Organisation>>,
     keys: Map<KeyDigest, OrgId>,
-    keyed: bool,
+    needs_keys: bool,
 }
 
 impl Catalog {
-    /// Returns an empty catalog of a version.
+    /// Returns an empty catalog.
     pub fn new(version: u64, limits: ClientLimits) -> Self {
         Self {
             version,
@@ -223,47 +225,49 @@
         self.services.insert(service.name.clone(), service);
     }
 
-    /// Adds an organisation with its keys. From then on routes that are not open need a key.
+    /// Adds an organisation with its API keys.
+    ///
+    /// From then on, routes that are not anonymous need a key.
     pub fn add_organisation<K>(&mut self, organisation: Organisation, keys: K)
     where
         K: IntoIterator<Item = KeyDigest>,
     {
         let name = organisation.name.clone();
-        self.keyed = true;
+        self.needs_keys = true;
         self.keys
             .extend(keys.into_iter().map(|key| (key, name.clone())));
         self.organisations.insert(name, Arc::new(organisation));
     }
 
-    /// Returns the route with the longest prefix of `path` on `host`.
+    /// Returns the route on `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         path.rmatch_indices('/')
             .find_map(|(end, _)| routes.get(&path[..=end]))
     }
 
-    /// Returns a service.
+    /// Returns the service with a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Returns every service.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// Returns the organisation that holds a key.
+    /// Returns the organisation that an API key belongs to.
     pub fn organisation_of(&self, key: &KeyDigest) -> Option<&Arc<Organisation>> {
         self.organisations.get(self.keys.get(key)?)
     }
 
-    /// Returns every organisation.
+    /// Returns all organisations.
     pub fn organisations(&self) -> impl Iterator<Item = &Arc<Organisation>> {
         self.organisations.values()
     }
 
-    /// Returns whether requests on routes that are not open need a key.
+    /// Returns whether requests on routes that are not anonymous need a key.
     pub fn needs_keys(&self) -> bool {
-        self.keyed
+        self.needs_keys
     }
 }
--- a/crates/apricotwell_dispatch/src/dispatcher.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The decisions about one request: whether it is taken, where it is sent and when it is refused.
+//! Admission and routing of requests, over the combined state of one instance.
 
 mod messaging;
 mod selection;
@@ -25,91 +25,91 @@
 use crate::request::RequestHead;
 use crate::retries::{RetryBounds, RetryBudget};
 
-/// Time for which callers are asked to stay away when no server is known.
-const NO_SERVER_PAUSE: Duration = Duration::from_millis(500);
+/// Retry delay sent to clients when there is no estimate of when a server becomes available.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Places at which instances stand among each other.
-const PHASES: u64 = 1024;
+/// Number of distinct quota phases; each instance gets one by the hash of its id.
+const QUOTA_PHASES: u64 = 1024;
 
-/// Fixed facts of an instance.
+/// Static configuration of an instance.
 #[derive(Clone, Debug)]
 pub struct InstanceConfig {
-    /// Name.
+    /// Id: the address that other instances send heartbeats to.
     pub id: InstanceId,
-    /// Start number of the process.
+    /// Incarnation of the process; increases with each start unless the clock is set back.
     pub incarnation: u64,
-    /// Zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Address for callers.
+    /// Address that clients connect to.
     pub address: String,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether the fleet is being started for the first time, so that no quota was spent before.
     pub first_start: bool,
-    /// Time within which a withdrawn key must stop working.
+    /// Time within which a revoked key must stop working.
     pub revocation_bound: Duration,
-    /// Excess over rates that the users allow.
+    /// Permitted excess over the quotas.
     pub quota: QuotaBounds,
-    /// Second attempts that the users allow.
+    /// Permitted number of retries.
     pub retries: RetryBounds,
-    /// Times of the placement lease.
+    /// Configuration of the placement lease.
     pub lease: LeaseConfig,
 }
 
-/// Request that was taken.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// Route.
+    /// Route that the request matched.
     pub route: Arc<Route>,
-    /// Service that runs it.
+    /// Service that runs the request.
     pub service: ServiceId,
-    /// Organisation whose key came with it; none on open routes.
+    /// Organisation that the request's key belongs to; `None` if the route needs no key.
     pub organisation: Option<Arc<Organisation>>,
-    /// Tokens that it was charged.
+    /// Tokens charged to the organisation's quota.
     pub tokens: Tokens,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// When the request came.
+    /// Arrival time.
     pub arrived: Instant,
-    /// When the caller or the route gives it up.
+    /// When the request times out, by the client's timeout or the route's.
     pub deadline: Instant,
-    /// When the caller gives it up unless something of the answer has come.
+    /// When the client times out unless it has received more of the response by then.
     pub silence_deadline: Instant,
-    /// Model wanted.
+    /// Model that the request asks for.
     pub requested_model: Option<RequestedModel>,
 }
 
-/// Where a request goes next.
+/// What to do with an admitted request next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoutingDecision {
-    /// To a server.
+    /// Send it to a server.
     Send(ServerId, SocketAddr),
-    /// Nowhere yet; look again when something changes.
+    /// Keep it queued and decide again when the state changes.
     Wait,
-    /// Nowhere at all.
+    /// Refuse it.
     Refuse(Refusal),
 }
 
-/// Everything that one instance knows and decides.
+/// State and decisions of one instance.
 #[derive(Debug)]
 pub struct Dispatcher {
-    /// Fixed facts.
+    /// Static configuration.
     pub config: InstanceConfig,
-    /// Configuration in force.
+    /// Current routes, services and organisations; `None` before the first were received.
     pub catalog: Option<Arc<Catalog>>,
-    /// Age of the view.
+    /// Age of the catalog.
     pub freshness: Freshness,
-    /// Views of the store's feeds.
+    /// Positions in the store's feeds and the recent changes served to other instances.
     pub feeds: FeedViews,
     /// Backend servers.
     pub backends: BackendTable,
     /// Other instances.
     pub peers: PeerTable,
-    /// Demand at this instance.
+    /// Demand for models at this instance.
     pub demand: DemandTable,
-    /// Placement lease.
+    /// Lease that permits this instance to order servers.
     pub lease: Lease,
-    /// Placement.
+    /// Planner of which models the servers hold.
     pub planner: PlacementPlanner,
-    /// Where prompts are cached.
+    /// Prompt segments that servers have likely cached.
     pub prompts: PromptCacheTable,
     quotas: QuotaTable,
     retries: Map<ServiceId, RetryBudget>,
@@ -118,7 +118,7 @@
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher that knows nothing yet.
+    /// Returns a dispatcher without a catalog, servers or peers.
     pub fn new(config: InstanceConfig) -> Self {
         Self {
             catalog: None,
@@ -131,7 +131,7 @@
             planner: PlacementPlanner::default(),
             prompts: PromptCacheTable::default(),
             quotas: QuotaTable::new(config.quota, config.first_start)
-                .with_phase((hash(&[&config.id]) % PHASES) as f64 / PHASES as f64),
+                .with_phase((hash(&[&config.id]) % QUOTA_PHASES) as f64 / QUOTA_PHASES as f64),
             retries: Map::default(),
             draining: false,
             heartbeats: 0,
@@ -139,32 +139,32 @@
         }
     }
 
-    /// Puts a configuration into force, unless it is older than the one in force.
+    /// Replaces the catalog if the new one has a higher version; returns whether it did.
     pub fn apply_catalog(&mut self, catalog: Catalog) -> bool {
-        let known = self.catalog.as_ref().map(|known| known.version);
-        let newer = known.is_none_or(|known| catalog.version > known);
+        let current = self.catalog.as_ref().map(|current| current.version);
+        let newer = current.is_none_or(|current| catalog.version > current);
         if newer {
             self.catalog = Some(Arc::new(catalog));
         }
         newer
     }
 
-    /// Stops attracting callers.
+    /// Starts draining: clients are no longer directed to this instance.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Returns whether the instance is on its way out.
+    /// Returns whether the instance is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether clients should connect to this instance.
     pub fn is_ready(&self, now: Instant) -> bool {
         !self.draining && self.catalog.is_some() && self.freshness.is_ready(now)
     }
 
-    /// Returns where to learn what is new in the store's feeds.
+    /// Returns where to read the store's feeds from: the store itself or the zone's reader.
     pub fn feed_source(&self, now: Instant) -> FeedSource {
         let reader = self.peers.first_ready(now, &self.config.zone);
         match reader {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Returns the addresses to which callers should connect.
+    /// Returns the addresses that clients should connect to, sorted.
     pub fn client_addresses(&self, now: Instant) -> Vec<String> {
         let mut addresses: Vec<String> =
             self.peers.ready_addresses(now).map(str::to_owned).collect();
@@ -186,34 +186,36 @@
         addresses
     }
 
-    /// Decides whether a request is taken and charges its tokens.
+    /// Admits or refuses a request and charges its tokens.
     ///
     /// # Errors
     ///
-    /// Returns the refusal for the caller; the request has not run.
-    pub fn admit(&mut self, now: Instant, call: &RequestHead) -> Result<Admission, Refusal> {
+    /// Returns the refusal to send to the client; the request has not run.
+    pub fn admit(&mut self, now: Instant, request: &RequestHead) -> Result<Admission, Refusal> {
         let Some(catalog) = self.catalog.clone() else {
-            return Err(unavailable("no configuration yet; try another instance"));
+            return Err(unavailable(
+                "no configuration received yet; try another instance",
+            ));
         };
         let current = self.freshness.is_current(now);
-        let Some(route) = catalog.route(&call.host, &call.path) else {
+        let Some(route) = catalog.route(&request.host, &request.path) else {
             return Err(if current {
                 Refusal::not_run(
                     RefusalKind::RouteNotFound,
-                    "no route has this host and path",
+                    "no route matches this host and path",
                 )
             } else {
-                unavailable("the configuration can't be confirmed; try another instance")
+                unavailable("the configuration may be out of date; try another instance")
             });
         };
-        let organisation = self.authenticate(now, &catalog, route, call)?;
-        let tokens = charge(call, organisation.as_deref());
+        let organisation = self.authenticate(now, &catalog, route, request)?;
+        let tokens = charge(request, organisation.as_deref());
         if let Some(organisation) = &organisation {
             self.spend(now, organisation, tokens)?;
         }
-        let service = route.service(draw(&call.attempt)).clone();
+        let service = route.service(service_draw(&request.attempt)).clone();
         self.retry_budget(&service).record_request(now);
-        let allowed = call.timeout.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = request.timeout.unwrap_or(route.timeout).min(route.timeout);
         let admission = Admission {
             priority: organisation
                 .as_ref()
@@ -223,17 +225,18 @@
             organisation,
             tokens,
             arrived: now,
-            deadline: now + allowed,
-            silence_deadline: now + allowed.min(route.silence_timeout()),
+            deadline: now + timeout,
+            silence_deadline: now + timeout.min(route.silence_timeout()),
             requested_model: catalog
                 .service(&service)
                 .is_some_and(|service| service.engine.is_some())
-                .then(|| call.requested_model.clone())
+                .then(|| request.requested_model.clone())
                 .flatten(),
             service,
         };
-        if let Some(wanted) = &admission.requested_model {
-            self.demand.record_request(now, &admission.service, wanted);
+        if let Some(requested) = &admission.requested_model {
+            self.demand
+                .record_request(now, &admission.service, requested);
         }
         Ok(admission)
     }
@@ -243,27 +246,27 @@
         now: Instant,
         catalog: &Catalog,
         route: &Route,
-        call: &RequestHead,
+        request: &RequestHead,
     ) -> Result<Option<Arc<Organisation>>, Refusal> {
         if route.anonymous || !catalog.needs_keys() {
             return Ok(None);
         }
         if !self.freshness.is_usable(now) {
             return Err(unavailable(
-                "withdrawn keys can't be told from valid ones without the store; try another instance",
+                "the configuration is too old to verify API keys; try another instance",
             ));
         }
-        let known = call.key.and_then(|key| catalog.organisation_of(&key));
-        if let Some(organisation) = known {
+        let organisation = request.key.and_then(|key| catalog.organisation_of(&key));
+        if let Some(organisation) = organisation {
             return Ok(Some(organisation.clone()));
         }
         Err(if self.freshness.is_current(now) {
             Refusal::not_run(
                 RefusalKind::InvalidKey,
-                "this key is unknown or was withdrawn; ask your operator for a new one",
+                "the API key is unknown or revoked; ask your operator for a new one",
             )
         } else {
-            unavailable("the configuration can't be confirmed; try another instance")
+            unavailable("the configuration may be out of date; try another instance")
         })
     }
 
@@ -273,33 +276,34 @@
         organisation: &Organisation,
         tokens: Tokens,
     ) -> Result<(), Refusal> {
-        let (heard, possible) = (self.peers.reporting_count(now), self.peers.possible_count());
-        self.quotas.set_share(heard, possible);
+        let (reporting, possible) = (self.peers.reporting_count(now), self.peers.possible_count());
+        self.quotas.set_share(reporting, possible);
         self.quotas
             .spend(now, organisation, tokens)
-            .map_err(|shortage| {
+            .map_err(|exceeded| {
                 let text = format!(
-                    "{} asks for {tokens} tokens and has {:.0} left at a burst of {} and {} a second, \
-                     of which {:.2} count here; \
-                     come back later",
+                    "organisation {} requested {tokens} tokens but has {:.0} left of its quota \
+                     (burst {}, {} tokens per second, of which a share of {:.2} is usable here); \
+                     retry later",
                     organisation.name,
-                    shortage.level,
+                    exceeded.level,
                     organisation.burst,
                     organisation.rate,
-                    shortage.share,
+                    exceeded.share,
                 );
-                Refusal::not_run(RefusalKind::OverRate, text).with_retry_after(shortage.retry_after)
+                Refusal::not_run(RefusalKind::OverRate, text).with_retry_after(exceeded.retry_after)
             })
     }
 
-    /// Gives back the tokens of a request that no server ran.
+    /// Refunds the tokens of a request that no server ran.
     pub fn refund(&mut self, now: Instant, admission: &Admission) {
         if let Some(organisation) = &admission.organisation {
             self.quotas.refund(now, organisation, admission.tokens);
         }
     }
 
-    /// Returns whether other instances should hear of this organisation's spending at once.
+    /// Returns whether the request's organisation is so close to its limit that other instances need
+    /// its spending at once.
     pub fn is_near_limit(&mut self, now: Instant, admission: &Admission) -> bool {
         admission
             .organisation
@@ -307,12 +311,12 @@
             .is_some_and(|organisation| self.quotas.is_near_limit(now, organisation))
     }
 
-    /// Returns what the fleet spent in the last window, to be kept in the store.
+    /// Returns the fleet's spending in the last window, to be saved in the store.
     pub fn fleet_spending(&mut self, now: Instant) -> FleetSpending {
         self.quotas.snapshot(now)
     }
 
-    /// Takes over what the store kept of the fleet's spending.
+    /// Restores the fleet's spending from what was saved in the store.
     pub fn restore_spending(&mut self, now: Instant, spending: &FleetSpending) {
         self.quotas.restore(now, spending);
     }
@@ -322,7 +326,7 @@
         self.quotas.is_any_near_limit()
     }
 
-    /// Takes a second attempt from the budget of the request's service.
+    /// Takes one retry from the budget of the request's service; returns `false` if none is left.
     pub fn take_retry(&mut self, now: Instant, admission: &Admission) -> bool {
         let instances = self.peers.possible_count();
         self.retry_budget(&admission.service)
@@ -336,16 +340,16 @@
             .or_insert_with(|| RetryBudget::new(bounds))
     }
 
-    /// Forgets what can no longer be true.
+    /// Removes instances and servers that timed out.
     pub fn expire(&mut self, now: Instant) {
-        for gone in self.peers.expire(now) {
-            self.backends.remove_instance(&gone);
+        for instance in self.peers.expire(now) {
+            self.backends.remove_instance(&instance);
         }
         self.backends.expire(now);
     }
 
-    /// Plans what the servers of every service hold, and returns the orders and the servers to be
-    /// asked for a report.
+    /// Plans the model placement of every service; returns the orders to send and the servers to
+    /// request a status report from.
     pub fn plan(&mut self, now: Instant) -> (Vec<Order>, Vec<ServerId>) {
         let Some(catalog) = self.catalog.clone() else {
             return Default::default();
@@ -364,21 +368,21 @@
     }
 }
 
-fn charge(call: &RequestHead, organisation: Option<&Organisation>) -> Tokens {
-    let plain = organisation.map_or(0, |organisation| organisation.default_tokens);
-    call.max_tokens.unwrap_or(plain)
+fn charge(request: &RequestHead, organisation: Option<&Organisation>) -> Tokens {
+    let default = organisation.map_or(0, |organisation| organisation.default_tokens);
+    request.max_tokens.unwrap_or(default)
 }
 
 fn unavailable(text: &str) -> Refusal {
-    Refusal::not_run(RefusalKind::Unavailable, text).with_retry_after(NO_SERVER_PAUSE)
+    Refusal::not_run(RefusalKind::Unavailable, text).with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
-fn overloaded(text: &str, after: Duration) -> Refusal {
-    Refusal::not_run(RefusalKind::Overloaded, text).with_retry_after(after)
+fn overloaded(text: &str, retry_after: Duration) -> Refusal {
+    Refusal::not_run(RefusalKind::Overloaded, text).with_retry_after(retry_after)
 }
 
-// Spreads attempts evenly over the weights of a route.
-fn draw(attempt: &str) -> u64 {
+// Returns a uniformly distributed number that selects one of a route's weighted services.
+fn service_draw(attempt: &str) -> u64 {
     hash(&[attempt])
 }
 
@@ -387,6 +391,6 @@
     for text in texts {
         hash.write(text.as_bytes());
     }
-    // The low bits of the fast hash are the least mixed.
+    // The low bits of this fast hash are poorly mixed.
     hash.finish() >> 11
 }
--- a/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other.
+//! Heartbeats and server inventories that instances exchange.
 
 use std::time::Instant;
 
@@ -8,12 +8,12 @@
 use super::Dispatcher;
 use crate::catalog::Catalog;
 
-/// Instances of a zone that pass on in turn what servers hold, so that a silent one holds up no more
-/// than every other time.
-const STOCK_RELAYS: usize = 2;
+/// Instances per zone that take turns in relaying server inventories, so that an unreachable relay
+/// delays at most every other update.
+const INVENTORY_RELAYS: usize = 2;
 
 impl Dispatcher {
-    /// Returns this instance's heartbeat, without demand.
+    /// Returns this instance's next heartbeat, without the demand for models.
     pub fn heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.heartbeats += 1;
         let servers = self
@@ -48,12 +48,13 @@
         }
     }
 
-    /// Notes that all other instances are told what is spent here.
+    /// Marks this instance's spending as reported to all other instances.
     pub fn on_spending_reported(&mut self, now: Instant) {
         self.quotas.mark_reported(now);
     }
 
-    /// Applies another instance's heartbeat.
+    /// Applies another instance's heartbeat; returns `false` if it is outdated or this
+    /// instance's own.
     pub fn apply_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
         if heartbeat.instance == *self.config.id || !self.peers.apply_heartbeat(now, heartbeat) {
             return false;
@@ -66,41 +67,44 @@
             .collect();
         self.backends.set_peer_requests(&instance, &requests);
         if let Some(catalog) = self.catalog.clone() {
-            self.note_spending(now, &catalog, &instance, heartbeat);
+            self.apply_spending(now, &catalog, &instance, heartbeat);
         }
         self.lease.observe_fence(heartbeat.fence);
         true
     }
 
-    /// Applies what the lease holder tells of servers.
-    pub fn apply_inventory(&mut self, now: Instant, told: &StockTold) {
-        for stock in &told.servers {
-            self.backends.apply_inventory(now, told.fence, stock);
+    /// Applies the server inventories that the lease holder sent.
+    pub fn apply_inventory(&mut self, now: Instant, update: &StockTold) {
+        for inventory in &update.servers {
+            self.backends.apply_inventory(now, update.fence, inventory);
         }
     }
 
-    /// Returns the instances to which the lease holder tells what servers hold, and for each whether
-    /// it is to pass that on: its own zone's, and one of each other zone, another one every time.
+    /// Returns the instances to which the lease holder sends server inventories, and for each whether
+    /// it must relay them to its zone.
+    ///
+    /// These are all instances of this zone and one relay in each other zone; `turn`, which counts the
+    /// updates, selects a different relay each time.
     pub fn inventory_recipients(&self, now: Instant, turn: usize) -> Vec<(InstanceId, bool)> {
-        let mut audience = Vec::new();
+        let mut recipients = Vec::new();
         for (zone, instances) in self.peers.alive_by_zone(now) {
             if zone == self.config.zone {
-                audience.extend(instances.into_iter().map(|instance| (instance, false)));
+                recipients.extend(instances.into_iter().map(|instance| (instance, false)));
             } else {
-                let relays = instances.len().min(STOCK_RELAYS);
-                audience.push((instances[turn % relays].clone(), true));
+                let relays = instances.len().min(INVENTORY_RELAYS);
+                recipients.push((instances[turn % relays].clone(), true));
             }
         }
-        audience
+        recipients
     }
 
-    /// Returns the other instances of this one's zone.
+    /// Returns the other reachable instances of this instance's zone.
     pub fn zone_peers(&self, now: Instant) -> Vec<InstanceId> {
         let mut zones = self.peers.alive_by_zone(now);
         zones.remove(&self.config.zone).unwrap_or_default()
     }
 
-    fn note_spending(
+    fn apply_spending(
         &mut self,
         now: Instant,
         catalog: &Catalog,
@@ -110,7 +114,7 @@
         let spending: Map<&str, (Tokens, Tokens)> = heartbeat
             .spending
             .iter()
-            .map(|told| (told.organisation.as_str(), (told.tokens, told.fleet)))
+            .map(|entry| (entry.organisation.as_str(), (entry.tokens, entry.fleet)))
             .collect();
         for organisation in catalog.organisations() {
             let name: &OrgId = &organisation.name;
--- a/crates/apricotwell_dispatch/src/dispatcher/selection.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/selection.rs
@@ -1,187 +1,203 @@
-//! Which server a request goes to, whether it waits for one, and when that is known to be in vain.
+//! Selection of the server for a request.
+//!
+//! Servers that can run the request are ranked by the delay that it is expected to meet there. If all
+//! of them are full, or none holds the model yet, the request waits as long as an answer in time is
+//! possible, and is refused otherwise.
 
 use std::time::{Duration, Instant};
 
 use apricotwell_types::ServerId;
 
 use super::{
-    Admission, Dispatcher, NO_SERVER_PAUSE, RoutingDecision, hash, overloaded, unavailable,
+    Admission, DEFAULT_RETRY_AFTER, Dispatcher, RoutingDecision, hash, overloaded, unavailable,
 };
 use crate::backends::Backend;
 use crate::catalog::Service;
 use crate::model::RequestedModel;
 use crate::request::RequestHead;
 
-/// Delay that a request in another zone is taken to add, in ms: bytes between zones cost as much.
-const ZONE_COST_MS: f64 = 20.0;
-/// Delay that a server is taken to add all of whose recent requests failed, in ms.
-const FAILURE_COST_MS: f64 = 3000.0;
-/// Delay that each request in flight adds to the next one on a model engine, in ms.
+/// Delay penalty for a server in another zone, in ms; stands for the cost of traffic between zones.
+const CROSS_ZONE_PENALTY_MS: f64 = 20.0;
+/// Delay penalty for a server whose recent requests all failed, in ms.
+const FAILURE_PENALTY_MS: f64 = 3000.0;
+/// Delay that each request in flight on a model engine adds to the next one, in ms.
 const ENGINE_REQUEST_MS: f64 = 0.6;
-/// Delay that each request in flight adds to the next one on a plain server, in ms.
+/// Delay that each request in flight on a server without a model engine adds to the next one, in ms.
 const PLAIN_REQUEST_MS: f64 = 8.0;
-/// Tokens of a prompt that an engine reads in a ms; while it reads, its streams pause.
-const READ_TOKENS_PER_MS: f64 = 20.0;
-/// Spread by which instances rank equal servers differently, in ms.
-const SPREAD_MS: f64 = 6.0;
-/// Requests on a full plain server, as a multiple of those that it runs at once.
-const PLAIN_QUEUE: f64 = 3.0;
-/// Requests on a full model engine, as a multiple of those that it runs at once.
-const ENGINE_QUEUE: f64 = 1.0;
-/// Time that a load takes besides the load itself: telling, making room, reporting.
+/// Prefill speed of an engine, in prompt tokens per ms; its streams pause during a prefill.
+const PREFILL_TOKENS_PER_MS: f64 = 20.0;
+/// Largest jitter per pair of instance and server, in ms, so that instances rank otherwise equal
+/// servers differently.
+const JITTER_MS: f64 = 6.0;
+/// Most requests in flight on a server without a model engine, as a multiple of its slots.
+const PLAIN_MAX_LOAD: f64 = 3.0;
+/// Most requests in flight on a model engine, as a multiple of its slots.
+const ENGINE_MAX_LOAD: f64 = 1.0;
+/// Time that a model load takes besides the load itself: sending the order, unloading other models
+/// and reporting the result.
 const LOAD_OVERHEAD: Duration = Duration::from_millis(300);
-/// Part of a caller's patience that a wait leaves for the answer itself.
-const ANSWER_MARGIN: Duration = Duration::from_millis(250);
+/// Time before the client's timeout that is reserved for the response.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(250);
 
 impl Dispatcher {
-    /// Decides where a request goes; servers in `tried` are left out.
+    /// Selects the server for a request, excluding the servers in `tried`.
     pub fn select_server(
         &self,
         now: Instant,
         admission: &Admission,
-        call: &RequestHead,
+        request: &RequestHead,
         tried: &[ServerId],
     ) -> RoutingDecision {
-        if now + ANSWER_MARGIN >= admission.silence_deadline {
+        if now + RESPONSE_MARGIN >= admission.silence_deadline {
             return RoutingDecision::Refuse(overloaded(
-                "no server was free in time",
-                NO_SERVER_PAUSE,
+                "no server became available in time",
+                DEFAULT_RETRY_AFTER,
             ));
         }
         let usable: Vec<&Backend> = self.backends.usable(now, &admission.service).collect();
         if usable.is_empty() {
-            return RoutingDecision::Refuse(unavailable("no server of this service is there"));
+            return RoutingDecision::Refuse(unavailable("no server of this service is available"));
         }
-        let wanted = admission.requested_model.as_ref();
-        let holders: Vec<&Backend> = usable
+        let requested = admission.requested_model.as_ref();
+        let candidates: Vec<&Backend> = usable
             .iter()
-            .filter(|server| server.serves(now, wanted) && !tried.contains(&server.entry.id))
+            .filter(|server| server.serves(now, requested) && !tried.contains(&server.entry.id))
             .copied()
             .collect();
-        if let Some(server) = self.best(now, admission, call, &holders) {
+        if let Some(server) = self.least_delayed(now, admission, request, &candidates) {
             return RoutingDecision::Send(server.entry.id.clone(), server.entry.address);
         }
-        if !holders.is_empty() {
+        if !candidates.is_empty() {
             return RoutingDecision::Wait;
         }
-        let Some(wanted) = wanted else {
-            return RoutingDecision::Refuse(overloaded("every server was tried", NO_SERVER_PAUSE));
+        let Some(requested) = requested else {
+            return RoutingDecision::Refuse(overloaded(
+                "all servers of this service were tried",
+                DEFAULT_RETRY_AFTER,
+            ));
         };
-        self.await_model(now, admission, wanted, &usable)
+        self.await_load(now, admission, requested, &usable)
     }
 
-    fn best<'a>(
+    // Returns the server with the least expected delay, `None` if all are full.
+    fn least_delayed<'a>(
         &self,
         now: Instant,
         admission: &Admission,
-        call: &RequestHead,
-        holders: &[&'a Backend],
+        request: &RequestHead,
+        candidates: &[&'a Backend],
     ) -> Option<&'a Backend> {
-        let queue = if admission.requested_model.is_some() {
-            ENGINE_QUEUE
+        let max_load = if admission.requested_model.is_some() {
+            ENGINE_MAX_LOAD
         } else {
-            PLAIN_QUEUE
+            PLAIN_MAX_LOAD
         };
-        let scored = holders.iter().filter_map(|server| {
+        let scored = candidates.iter().filter_map(|server| {
             let slots = f64::from(server.entry.slots.max(1));
             let load = f64::from(server.in_flight()) / slots;
-            (load < queue).then(|| (self.delay(now, server, admission, call), *server))
+            (load < max_load).then(|| {
+                (
+                    self.expected_delay(now, server, admission, request),
+                    *server,
+                )
+            })
         });
         scored
             .min_by(|one, other| one.0.total_cmp(&other.0))
             .map(|(_, server)| server)
     }
 
-    // Delay in ms that a request is taken to meet at a server. Of the load only what this instance
-    // sent itself is known to the moment, so that weighs most: if each instance spreads its own
-    // requests evenly, all of them together are spread evenly, and none follow the same old view.
-    fn delay(
+    // Returns the delay in ms that a request is expected to meet at a server. Only the load that this
+    // instance sent itself is known without lag, so it weighs most: if each instance spreads its own
+    // requests evenly, the total is even too, and instances don't all follow the same outdated view.
+    fn expected_delay(
         &self,
         now: Instant,
         server: &Backend,
         admission: &Admission,
-        call: &RequestHead,
+        request: &RequestHead,
     ) -> f64 {
         let in_flight = f64::from(server.in_flight());
-        let mut delay = FAILURE_COST_MS * server.failure_rate(now);
+        let mut delay = FAILURE_PENALTY_MS * server.failure_rate(now);
         if server.entry.zone != self.config.zone {
-            delay += ZONE_COST_MS;
+            delay += CROSS_ZONE_PENALTY_MS;
         }
-        delay += SPREAD_MS * spread(&self.config.id, &server.entry.id);
-        let Some(wanted) = &admission.requested_model else {
+        delay += JITTER_MS * jitter(&self.config.id, &server.entry.id);
+        let Some(requested) = &admission.requested_model else {
             return delay + PLAIN_REQUEST_MS * in_flight;
         };
         let id = &server.entry.id;
-        let unread = self.prompts.uncached_tokens(id, wanted, &call.prompt);
-        let tokens = unread + server.recent_tokens(now);
-        delay + ENGINE_REQUEST_MS * in_flight + tokens / READ_TOKENS_PER_MS
+        let uncached = self.prompts.uncached_tokens(id, requested, &request.prompt);
+        let tokens = uncached + server.recent_tokens(now);
+        delay + ENGINE_REQUEST_MS * in_flight + tokens / PREFILL_TOKENS_PER_MS
     }
 
-    // No server holds the model: wait for it if it can be there in time.
-    fn await_model(
+    // Decides for a model that no server holds: the request waits if the model can be loaded in time.
+    fn await_load(
         &self,
         now: Instant,
         admission: &Admission,
-        wanted: &RequestedModel,
+        requested: &RequestedModel,
         usable: &[&Backend],
     ) -> RoutingDecision {
         let service = self
             .catalog
             .as_ref()
             .and_then(|catalog| catalog.service(&admission.service));
-        let Some(load) = service.and_then(|service| expected_load(now, service, wanted, usable))
+        let Some(load) =
+            service.and_then(|service| expected_load_time(now, service, requested, usable))
         else {
-            let text = "no server can run this model; ask for one of the service's models";
-            return RoutingDecision::Refuse(overloaded(text, NO_SERVER_PAUSE));
+            let text = "this service does not have the requested model; request one of its models";
+            return RoutingDecision::Refuse(overloaded(text, DEFAULT_RETRY_AFTER));
         };
-        if now + load + ANSWER_MARGIN < admission.silence_deadline {
+        if now + load + RESPONSE_MARGIN < admission.silence_deadline {
             return RoutingDecision::Wait;
         }
         RoutingDecision::Refuse(overloaded(
-            "the model is being loaded; come back then",
+            "the model is being loaded; retry when it is ready",
             load,
         ))
     }
 }
 
-// Time until some server should have loaded the model, `None` if none can.
-fn expected_load(
+// Returns the expected time until some server has loaded the model, `None` if none can.
+fn expected_load_time(
     now: Instant,
     service: &Service,
-    wanted: &RequestedModel,
+    requested: &RequestedModel,
     usable: &[&Backend],
 ) -> Option<Duration> {
-    let spec = service.engine.as_ref()?.model(&wanted.model)?;
+    let spec = service.engine.as_ref()?.model(&requested.model)?;
     let held = usable
         .iter()
-        .any(|server| server.holdings.adapters(&wanted.model).is_some());
+        .any(|server| server.holdings.adapters(&requested.model).is_some());
     if held {
-        // Only the adapter is missing, or the server just denied the model.
+        // Only the adapter is missing, or the server has just rejected the model.
         return Some(LOAD_OVERHEAD);
     }
     let loading = usable.iter().filter_map(|server| {
         let loading = server.loading.as_ref()?;
-        (loading.model == wanted.model).then(|| loading.ends_at.saturating_duration_since(now))
+        (loading.model == requested.model).then(|| loading.ends_at.saturating_duration_since(now))
     });
     if let Some(left) = loading.min() {
         return Some(left + LOAD_OVERHEAD / 2);
     }
     let cached = usable.iter().filter_map(|server| {
-        let busy = server.loading.as_ref().map_or(Duration::ZERO, |loading| {
+        let busy_time = server.loading.as_ref().map_or(Duration::ZERO, |loading| {
             loading.ends_at.saturating_duration_since(now)
         });
         let holdings = &server.holdings;
-        if holdings.in_memory.contains(&wanted.model) {
-            return Some(busy + spec.memory_load);
+        if holdings.in_memory.contains(&requested.model) {
+            return Some(busy_time + spec.memory_load);
         }
-        let on_disk = holdings.on_disk.contains(&wanted.model);
-        on_disk.then_some(busy + spec.disk_load)
+        let on_disk = holdings.on_disk.contains(&requested.model);
+        on_disk.then_some(busy_time + spec.disk_load)
     });
     Some(cached.min().unwrap_or(spec.store_load).min(spec.store_load) + LOAD_OVERHEAD)
 }
 
-// Rank of a server for one instance, from 0 to 1.
-fn spread(instance: &str, server: &str) -> f64 {
+// Returns a number from 0 to 1 that is fixed for a pair of instance and server.
+fn jitter(instance: &str, server: &str) -> f64 {
     const STEPS: u64 = 1024;
     (hash(&[instance, server]) % STEPS) as f64 / STEPS as f64
 }
--- a/crates/apricotwell_dispatch/src/feeds.rs
+++ b/crates/apricotwell_dispatch/src/feeds.rs
@@ -1,9 +1,10 @@
-//! Who reads the store's feeds, and what the others ask instead.
+//! Sharing of the store's feeds between the instances of a zone.
 //!
-//! In each zone one instance reads the store, the ready one with the lowest id. The others ask it
-//! what came after the offset up to which they know a feed. It answers with its changes and with the
-//! age of its view; added to the time since the question was sent, this bounds the age of theirs,
-//! however late the answer comes. Whoever gets no answer, or an old one, reads the store itself.
+//! In each zone only one instance reads the store: the ready one with the lowest id. The others query
+//! it for the changes after the offset up to which they have read a feed. The answer contains these
+//! changes and the age of the reader's view; added to the time since the query was sent, this bounds
+//! the age of the querying instance's view, however late the answer arrives. An instance that gets no
+//! answer, or one with an old view, reads the store itself.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,96 +16,98 @@
 use crate::backends::BackendEntry;
 use crate::model::{Holdings, ModelName};
 
-/// Changes of the list of servers that are kept for other instances.
-const MAX_CHANGES: usize = 4096;
-/// Changes in one answer, so that it fits into a datagram.
-const MAX_ANSWERED: usize = 32;
+/// Maximum number of server list changes that are retained for other instances.
+const MAX_RETAINED_CHANGES: usize = 4096;
+/// Number of changes from which on an answer is split, so that it fits into a datagram.
+const MAX_ANSWER_CHANGES: usize = 32;
 
-/// Feed of the store.
+/// A feed of the store. Logged by variant name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Feed {
-    /// Configuration.
+    /// Configuration versions.
     Configuration,
-    /// List of servers.
+    /// Changes of the server list.
     Servers,
 }
 
-/// Where an instance learns what is new.
+/// Where an instance reads a feed from. Logged by variant name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedSource {
-    /// In the store.
+    /// The store.
     Store,
-    /// From another instance.
+    /// Another instance.
     Peer(InstanceId),
 }
 
-/// Change of the list of servers.
+/// A change of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerListChange {
-    /// Entry of a server.
+    /// A server was added or its entry changed.
     Entry(BackendEntry),
-    /// A server left the list.
+    /// A server was removed from the list.
     Removed(ServerId),
 }
 
-/// What another instance told of a feed.
+/// A decoded answer of another instance about a feed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedUpdate {
-    /// Changes of the list of servers.
+    /// Changes of the server list, in order.
     pub changes: Vec<ServerListChange>,
-    /// Offset up to which the feed is known now.
+    /// Offset up to which the feed has been read now.
     pub next: Offset,
-    /// Time up to which nothing else came; `None` while more is to be asked for.
+    /// Time up to which there were no other changes; `None` if another query is needed.
     pub confirmed_at: Option<Instant>,
 }
 
-/// Views of both feeds, with what other instances may ask of them.
+/// Read positions in both feeds, with the recent changes that other instances may query.
 #[derive(Debug, Default)]
 pub struct FeedViews {
     configuration: Option<View>,
     servers: Option<View>,
     changes: VecDeque<(Offset, ServerChange)>,
-    // Offset from which on all changes are kept.
-    kept_from: Offset,
+    // Offset from which on all changes are retained.
+    retained_from: Offset,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct View {
     next: Offset,
-    current: Instant,
+    // Time up to which there was nothing beyond `next`.
+    confirmed_at: Instant,
 }
 
 impl FeedViews {
-    /// Notes that a feed is known up to an offset, and that nothing else had come at `current`.
-    pub fn record_position(&mut self, feed: Feed, next: Offset, current: Instant) {
+    /// Records that a feed has been read up to `next`, and that there was nothing beyond it at
+    /// `confirmed_at`.
+    pub fn record_position(&mut self, feed: Feed, next: Offset, confirmed_at: Instant) {
         let view = match feed {
             Feed::Configuration => &mut self.configuration,
             Feed::Servers => &mut self.servers,
         };
-        let current = view.map_or(current, |view| view.current.max(current));
-        *view = Some(View { next, current });
+        let confirmed_at = view.map_or(confirmed_at, |view| view.confirmed_at.max(confirmed_at));
+        *view = Some(View { next, confirmed_at });
     }
 
-    /// Notes that the list of servers is known from an offset on only.
+    /// Clears the retained changes after the whole server list was read up to `next`.
     pub fn reset_changes(&mut self, next: Offset) {
         self.changes.clear();
-        self.kept_from = next;
+        self.retained_from = next;
     }
 
-    /// Keeps a change of the list of servers that came before `next`.
+    /// Retains a change of the server list that was read up to `next`.
     pub fn record_change(&mut self, next: Offset, change: &ServerListChange) {
         self.changes.push_back((next, encode_change(change)));
-        if self.changes.len() > MAX_CHANGES
+        if self.changes.len() > MAX_RETAINED_CHANGES
             && let Some((dropped, _)) = self.changes.pop_front()
         {
-            self.kept_from = dropped;
+            self.retained_from = dropped;
         }
     }
 
-    /// Returns the age of a feed's view, `None` if it was never read.
+    /// Returns the age of this instance's view of a feed, `None` if it was never read.
     pub fn age(&self, now: Instant, feed: Feed) -> Option<Duration> {
         let view = self.view(feed)?;
-        Some(now.saturating_duration_since(view.current))
+        Some(now.saturating_duration_since(view.confirmed_at))
     }
 
     fn view(&self, feed: Feed) -> Option<View> {
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Answers another instance; `None` before the feed was read.
+    /// Returns the answer to another instance's query, `None` before the feed was read.
     pub fn answer(&self, now: Instant, query: &FeedQuery) -> Option<FeedAnswer> {
         let feed = if query.servers {
             Feed::Servers
@@ -122,17 +125,17 @@
             Feed::Configuration
         };
         let view = self.view(feed)?;
-        let age = now.saturating_duration_since(view.current).as_millis();
+        let age = now.saturating_duration_since(view.confirmed_at).as_millis();
         let mut answer = FeedAnswer {
             number: query.number,
             covers: query.from >= view.next,
             next: view.next,
-            // Rounded up: a view must never pass for younger than it is.
+            // Rounded up, so that the view never appears newer than it is.
             age: u32::try_from(age).unwrap_or(u32::MAX).saturating_add(1),
             servers: Vec::new(),
             more: false,
         };
-        if query.servers && !answer.covers && query.from >= self.kept_from {
+        if query.servers && !answer.covers && query.from >= self.retained_from {
             self.add_changes(query.from, &mut answer);
         }
         Some(answer)
@@ -142,8 +145,8 @@
         let missing = self.changes.iter().filter(|(next, _)| *next > from);
         let mut last = from;
         for (next, change) in missing {
-            // Changes that came together stay together.
-            if answer.servers.len() >= MAX_ANSWERED && *next > last {
+            // Changes with the same offset must not be split over two answers.
+            if answer.servers.len() >= MAX_ANSWER_CHANGES && *next > last {
                 answer.next = last;
                 answer.more = true;
                 break;
@@ -155,10 +158,10 @@
     }
 }
 
-/// Decodes an answer to a question that was sent at `asked`, when the feed was known up to `from`.
+/// Decodes the answer to a query that was sent at `sent_at` for the changes after `from`.
 ///
-/// Returns `None` if it does not tell all that came since.
-pub fn decode_answer(asked: Instant, from: Offset, answer: &FeedAnswer) -> Option<FeedUpdate> {
+/// Returns `None` if the answer doesn't contain all changes since then.
+pub fn decode_answer(sent_at: Instant, from: Offset, answer: &FeedAnswer) -> Option<FeedUpdate> {
     if !answer.covers {
         return None;
     }
@@ -168,7 +171,7 @@
         next: answer.next.max(from),
         confirmed_at: match answer.more {
             true => None,
-            false => Some(asked.checked_sub(Duration::from_millis(u64::from(answer.age)))?),
+            false => Some(sent_at.checked_sub(Duration::from_millis(u64::from(answer.age)))?),
         },
     })
 }
--- a/crates/apricotwell_dispatch/src/inventory_updates.rs
+++ b/crates/apricotwell_dispatch/src/inventory_updates.rs
@@ -1,4 +1,4 @@
-//! What the lease holder tells others of the servers' stock.
+//! Inventories of servers that the lease holder broadcasts to other instances.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,29 +11,30 @@
 use crate::orders::ServerOrders;
 use crate::placement::PlacementPlanner;
 
-/// Datagrams that tell of a change, as one may be lost.
-const REPEATS: u32 = 3;
-/// Servers told of each time though nothing changed, in turn. The platform's list tells of the others,
-/// later.
-const REFRESHED: usize = 4;
+/// Number of times that a changed inventory is sent, as datagrams may be lost.
+const TRANSMISSIONS: u32 = 3;
+/// Unchanged inventories that each batch repeats, round robin. For the others, instances use the
+/// platform's server list, which lags.
+const REFRESHES_PER_BATCH: usize = 4;
 
 #[derive(Debug)]
-struct Told {
+struct SentInventory {
     models: Vec<ModelHeld>,
     loading: String,
-    repeats: u32,
+    transmissions_left: u32,
 }
 
-/// Picks what to tell, so that its size does not grow with the number of servers.
+/// Selects the inventories to broadcast, so that the size of a batch doesn't grow with the number of
+/// servers.
 #[derive(Debug, Default)]
 pub struct InventoryUpdates {
-    told: BTreeMap<ServerId, Told>,
-    // Last server that was told of in turn.
-    last: Option<ServerId>,
+    sent: BTreeMap<ServerId, SentInventory>,
+    // Last server whose unchanged inventory was repeated.
+    last_refreshed: Option<ServerId>,
 }
 
 impl InventoryUpdates {
-    /// Returns whether a server changed since it was last told of.
+    /// Returns whether some server's inventory changed since it was last sent.
     pub fn has_change(
         &self,
         now: Instant,
@@ -41,74 +42,81 @@
         list: &BackendTable,
     ) -> bool {
         planner.servers().any(|(id, server)| {
-            stock_of(now, id, server).is_some_and(|stock| !self.is_told(id, &stock, list))
+            encode_inventory(now, id, server)
+                .is_some_and(|inventory| !self.is_sent(id, &inventory, list))
         })
     }
 
-    /// Returns what is to be told next; others know what the list of servers says.
+    /// Returns the inventories to send next; `list` is the server list, which other instances also have.
     pub fn take_batch(
         &mut self,
         now: Instant,
         planner: &PlacementPlanner,
         list: &BackendTable,
     ) -> Vec<ServerStock> {
-        let turn = self.next_turn(planner);
-        let mut news = Vec::new();
-        self.told
+        let refreshed = self.next_refreshed(planner);
+        let mut batch = Vec::new();
+        self.sent
             .retain(|id, _| planner.servers().any(|(known, _)| known == id));
         for (id, server) in planner.servers() {
-            let Some(stock) = stock_of(now, id, server) else {
+            let Some(inventory) = encode_inventory(now, id, server) else {
                 continue;
             };
-            if !self.is_told(id, &stock, list) {
-                let told = Told {
-                    models: stock.models.clone(),
-                    loading: stock.loading.clone(),
-                    repeats: REPEATS,
+            if !self.is_sent(id, &inventory, list) {
+                let sent = SentInventory {
+                    models: inventory.models.clone(),
+                    loading: inventory.loading.clone(),
+                    transmissions_left: TRANSMISSIONS,
                 };
-                self.told.insert(id.clone(), told);
+                self.sent.insert(id.clone(), sent);
             }
-            let repeats = self.told.get_mut(id).map(|told| &mut told.repeats);
-            let repeated = repeats.is_some_and(|repeats| {
-                let left = *repeats > 0;
-                *repeats = repeats.saturating_sub(1);
-                left
+            let left = self
+                .sent
+                .get_mut(id)
+                .map(|sent| &mut sent.transmissions_left);
+            let is_due = left.is_some_and(|left| {
+                let due = *left > 0;
+                *left = left.saturating_sub(1);
+                due
             });
-            if repeated || turn.contains(id) {
-                news.push(stock);
+            if is_due || refreshed.contains(id) {
+                batch.push(inventory);
             }
         }
-        news
+        batch
     }
 
-    fn is_told(&self, id: &ServerId, stock: &ServerStock, list: &BackendTable) -> bool {
-        match self.told.get(id) {
-            Some(told) => told.models == stock.models && told.loading == stock.loading,
-            // A new holder of the lease has told nothing: only what the list lacks is news.
+    // Whether the other instances were already sent an inventory, or have it from the server list.
+    fn is_sent(&self, id: &ServerId, inventory: &ServerStock, list: &BackendTable) -> bool {
+        match self.sent.get(id) {
+            Some(sent) => sent.models == inventory.models && sent.loading == inventory.loading,
+            // A new lease holder has sent nothing yet: only differences from the list count.
             None => list.get(id).is_some_and(|server| {
-                stock.loading.is_empty() && held(&server.entry.holdings) == stock.models
+                inventory.loading.is_empty()
+                    && encode_models(&server.entry.holdings) == inventory.models
             }),
         }
     }
 
-    fn next_turn(&mut self, planner: &PlacementPlanner) -> Vec<ServerId> {
+    // Returns the servers whose inventories are repeated next, round robin.
+    fn next_refreshed(&mut self, planner: &PlacementPlanner) -> Vec<ServerId> {
         let ids = || planner.servers().map(|(id, _)| id.clone());
-        let last = self.last.clone();
+        let last = self.last_refreshed.clone();
         let after = ids().filter(|id| last.as_ref().is_none_or(|last| id > last));
-        let turn: Vec<ServerId> = after.chain(ids()).take(REFRESHED).collect();
-        self.last = turn.last().cloned();
-        turn
+        let refreshed: Vec<ServerId> = after.chain(ids()).take(REFRESHES_PER_BATCH).collect();
+        self.last_refreshed = refreshed.last().cloned();
+        refreshed
     }
 }
 
-fn stock_of(now: Instant, id: &ServerId, server: &ServerOrders) -> Option<ServerStock> {
+fn encode_inventory(now: Instant, id: &ServerId, server: &ServerOrders) -> Option<ServerStock> {
     let holdings = server.servable(now)?;
     let loading = server.loading();
     Some(ServerStock {
         server: id.to_string(),
         born: server.born(),
         orders: holdings.orders,
-        models: held(&holdings),
+        models: encode_models(&holdings),
         loading: loading
             .map(|(model, _)| model.to_string())
             .unwrap_or_default(),
@@ -118,7 +126,7 @@
     })
 }
 
-fn held(holdings: &Holdings) -> Vec<ModelHeld> {
+fn encode_models(holdings: &Holdings) -> Vec<ModelHeld> {
     let models = holdings.models.iter();
     models
         .map(|(model, adapters)| ModelHeld {
--- a/crates/apricotwell_dispatch/src/lease.rs
+++ b/crates/apricotwell_dispatch/src/lease.rs
@@ -1,129 +1,134 @@
-//! The lease that lets one instance order backend servers.
+//! The placement lease, which permits one instance at a time to order backend servers.
 //!
-//! Whoever appended the last claim to the store's log holds the lease for as long as it stays a member
-//! of the store's consumer group; the claim's offset is its fence. Once the group has dropped the
-//! holder, the member to which a certain partition falls may claim. A holder that the group may have
-//! dropped without its knowledge looks at the log before it goes on.
+//! The member that appended the last claim to the store's log holds the lease for as long as it stays
+//! in the store's consumer group; the claim's offset is the fencing token. Once the group has removed
+//! the holder, the member that is assigned a certain partition may claim the lease. A holder that the
+//! group may have removed without its knowledge checks the log before it continues.
 
 use std::time::{Duration, Instant};
 
 use apricotwell_types::Fence;
 
-/// Part of the term that the holder leaves unused, against late timers and orders on their way.
+/// End of the term that the holder doesn't use, to allow for late timers and orders in transit.
 const TERM_MARGIN: Duration = Duration::from_millis(300);
-/// Time for which a holder whom the store does not answer goes on where servers check fences: a
-/// successor's first order to a server ends it there.
+/// Term of a holder that the store does not answer, if servers check fencing tokens: a server stops
+/// accepting its orders with the successor's first one.
 const FENCED_TERM: Duration = Duration::from_secs(12);
-/// Time before the first order from which others are told of the claim: heartbeats go out within a
-/// third of a second, and reports lag by a fifth.
-const ANNOUNCEMENT: Duration = Duration::from_millis(650);
+/// Time before the first order at which the claim is announced to other instances: heartbeats are
+/// sent within a third of a second, and server reports lag by a fifth.
+const ANNOUNCEMENT_LEAD: Duration = Duration::from_millis(650);
 
-/// Times of the lease.
+/// Configuration of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// Time without a renewal after which the group drops a member.
+    /// Time without a renewal after which the group removes a member.
     pub term: Duration,
-    /// Pause between the last order of one holder and the first of the next.
+    /// Required time between the last order of one holder and the first order of the next.
     pub handover_pause: Duration,
-    /// Longest time between two renewals of a process that runs and is answered.
+    /// Longest time between two renewals while the process runs and the store answers.
     pub max_renewal_gap: Duration,
-    /// Whether servers refuse fences lower than one that they have seen.
+    /// Whether servers reject fencing tokens lower than the highest that they have received.
     pub fenced: bool,
 }
 
-/// Who holds the lease by the log and the group.
+/// State of the last claim, according to the log and the group. Logged by variant name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimStatus {
-    /// Nobody ever claimed it.
+    /// There was never a claim.
     Unclaimed,
-    /// The last claim is of this process or of an earlier one on this machine.
+    /// The last claim was made by this process or an earlier one on this machine.
     Own,
-    /// The last holder is no longer in the group and may have ordered until it left.
+    /// The last holder is no longer in the group; it may have sent orders until it was removed.
     Dropped,
-    /// Another member holds it.
+    /// The last holder is another member of the group.
     Taken,
 }
 
-/// What to do about the lease.
+/// Next step to take for the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing.
+    /// Do nothing.
     Keep,
-    /// Look at the log and the group, then call [`Lease::apply_status`].
+    /// Read the log and the group, then call [`Lease::apply_status`].
     Check,
     /// Append a claim to the log, then call [`Lease::apply_claim`].
     Claim,
-    /// Stop ordering.
+    /// Stop sending orders.
     Stop,
 }
 
-/// Lease as one instance sees it.
+/// The lease from the point of view of one instance.
 ///
 /// # Invariants
 ///
-/// Where servers don't check fences, [`Lease::fence`] returns a number only while no other instance
-/// gets one: within the term of the last renewal, and a pause after the previous holder was dropped.
-/// Where they do, another instance may get a higher one, which prevails at each server.
+/// If servers don't check fencing tokens, [`Lease::fence`] returns one on at most one instance at any
+/// time: only within the term of the last renewal, and only after the handover pause that follows the
+/// removal of the previous holder. If they do, another instance may get a higher token at the same
+/// time, which takes precedence at each server.
 #[derive(Debug)]
 pub struct Lease {
-    terms: LeaseConfig,
-    // Start of the last renewal that the store answered.
-    renewed: Option<Instant>,
-    // Start of the last renewal, answered or not.
-    tried: Option<Instant>,
+    config: LeaseConfig,
+    // Start of the last renewal that the store confirmed.
+    last_renewal: Option<Instant>,
+    // Start of the last renewal, confirmed or not.
+    last_attempt: Option<Instant>,
     claim: Option<Claim>,
-    // Whether a claim was dropped without a look at the log.
-    unsure: bool,
+    // Whether a claim was released without checking the log.
+    needs_check: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     fence: Fence,
-    opens: Instant,
+    // Time of the first permitted order.
+    effective_at: Instant,
 }
 
 impl Lease {
     /// Returns a lease that is not held.
-    pub fn new(terms: LeaseConfig) -> Self {
+    pub fn new(config: LeaseConfig) -> Self {
         Self {
-            terms,
-            renewed: None,
-            tried: None,
+            config,
+            last_renewal: None,
+            last_attempt: None,
             claim: None,
-            unsure: false,
+            needs_check: false,
         }
     }
 
-    /// Notes that a renewal begins.
+    /// Starts a renewal.
+    ///
+    /// Releases the claim if the process was stalled since the previous one.
     pub fn begin_renewal(&mut self, now: Instant) {
-        // A renewal that comes late was held up with the whole process, and others may have moved on.
+        // A late renewal means that the whole process was stalled; others may have taken over.
         if self.is_stalled(now) {
-            self.drop_claim();
+            self.release_claim();
         }
-        self.tried = Some(now);
+        self.last_attempt = Some(now);
     }
 
-    /// Notes that the store answered the renewal that began at `start`; `changed` says whether the
-    /// group has changed since the last check.
+    /// Completes the renewal that began at `start`, which the store confirmed.
+    ///
+    /// `changed` is whether the group has changed since the last check.
     pub fn complete_renewal(&mut self, start: Instant, changed: bool) -> LeaseAction {
         let gap = self
-            .renewed
-            .map(|before| start.saturating_duration_since(before));
-        self.renewed = Some(start);
-        let unbroken = gap.is_some_and(|gap| gap + TERM_MARGIN < self.terms.term);
-        if self.claim.is_some() && unbroken {
+            .last_renewal
+            .map(|previous| start.saturating_duration_since(previous));
+        self.last_renewal = Some(start);
+        let is_continuous = gap.is_some_and(|gap| gap + TERM_MARGIN < self.config.term);
+        if self.claim.is_some() && is_continuous {
             return LeaseAction::Keep;
         }
-        if self.claim.is_none() && !changed && !self.unsure {
+        if self.claim.is_none() && !changed && !self.needs_check {
             return LeaseAction::Keep;
         }
         LeaseAction::Check
     }
 
-    /// Notes who holds the lease; `candidate` says whether a free one falls to this instance.
-    pub fn apply_status(&mut self, standing: ClaimStatus, candidate: bool) -> LeaseAction {
-        self.unsure = false;
-        match standing {
+    /// Applies the result of a check; `candidate` is whether this instance may claim a free lease.
+    pub fn apply_status(&mut self, status: ClaimStatus, candidate: bool) -> LeaseAction {
+        self.needs_check = false;
+        match status {
             ClaimStatus::Own if self.claim.is_some() => LeaseAction::Keep,
             ClaimStatus::Own => LeaseAction::Claim,
             ClaimStatus::Unclaimed | ClaimStatus::Dropped if candidate => LeaseAction::Claim,
@@ -134,73 +139,78 @@
         }
     }
 
-    /// Notes that the claim was appended at the offset that gives `fence`.
-    pub fn apply_claim(&mut self, now: Instant, fence: Fence, standing: ClaimStatus) {
-        let wait = match standing {
-            // Orders of one machine are those of one holder.
+    /// Applies this instance's claim; `fence` is its offset in the log, `status` the status before it.
+    pub fn apply_claim(&mut self, now: Instant, fence: Fence, status: ClaimStatus) {
+        let delay = match status {
+            // The processes of one machine count as one holder.
             ClaimStatus::Unclaimed | ClaimStatus::Own => Duration::ZERO,
-            ClaimStatus::Taken => self.terms.handover_pause,
-            // The holder was silent for the term, save for the time between two renewals. One that
-            // lives on, cut off from the store, is stopped by the higher fence.
-            ClaimStatus::Dropped if self.terms.fenced => (self.terms.handover_pause
-                + self.terms.max_renewal_gap)
-                .saturating_sub(self.terms.term),
-            ClaimStatus::Dropped => self.terms.handover_pause,
+            ClaimStatus::Taken => self.config.handover_pause,
+            // The group removes a holder one term after its last renewal, and its last order came at
+            // most one renewal gap after that. If it still runs without access to the store, the
+            // higher fencing token stops it.
+            ClaimStatus::Dropped if self.config.fenced => (self.config.handover_pause
+                + self.config.max_renewal_gap)
+                .saturating_sub(self.config.term),
+            ClaimStatus::Dropped => self.config.handover_pause,
         };
         self.claim = Some(Claim {
             fence,
-            opens: now + wait,
+            effective_at: now + delay,
         });
     }
 
-    /// Drops the claim, after a server refused its fence.
+    /// Releases the claim after a server rejected its fencing token.
     pub fn on_fenced(&mut self) {
-        self.drop_claim();
+        self.release_claim();
     }
 
-    /// Drops the claim if another instance orders with a higher fence.
+    /// Releases the claim if another instance uses a higher fencing token.
     pub fn observe_fence(&mut self, fence: Fence) {
         if self.claim.is_some_and(|claim| claim.fence < fence) {
-            self.drop_claim();
+            self.release_claim();
         }
     }
 
-    fn drop_claim(&mut self) {
-        self.unsure |= self.claim.take().is_some();
+    fn release_claim(&mut self) {
+        self.needs_check |= self.claim.take().is_some();
     }
 
-    /// Returns the fence for an order given right now.
+    /// Returns the fencing token for an order that is sent right now.
     pub fn fence(&self, now: Instant) -> Option<Fence> {
         let claim = self.claim?;
-        (claim.opens <= now && !self.has_lapsed(now)).then_some(claim.fence)
+        (claim.effective_at <= now && !self.has_expired(now)).then_some(claim.fence)
     }
 
-    /// Returns the fence that others are told: so long before the first order that a previous holder
-    /// that lives on has stopped by then, and what it ordered last shows in reports.
+    /// Returns the fencing token to announce to other instances.
+    ///
+    /// The announcement precedes the first order by long enough that a previous holder that still runs
+    /// has stopped by then, and that its last orders appear in server reports.
     pub fn announced_fence(&self, now: Instant) -> Option<Fence> {
         let claim = self.claim?;
-        (claim.opens <= now + ANNOUNCEMENT && !self.has_lapsed(now)).then_some(claim.fence)
+        (claim.effective_at <= now + ANNOUNCEMENT_LEAD && !self.has_expired(now))
+            .then_some(claim.fence)
     }
 
-    /// Returns whether this instance holds the lease, able to order yet or not.
+    /// Returns whether this instance holds the lease, even if it may not send orders yet.
     pub fn is_held(&self, now: Instant) -> bool {
-        self.claim.is_some() && !self.has_lapsed(now)
+        self.claim.is_some() && !self.has_expired(now)
     }
 
-    fn has_lapsed(&self, now: Instant) -> bool {
-        let term = if self.terms.fenced && !self.is_stalled(now) {
+    fn has_expired(&self, now: Instant) -> bool {
+        let term = if self.config.fenced && !self.is_stalled(now) {
             FENCED_TERM
         } else {
-            self.terms.term
+            self.config.term
         };
-        self.renewed
-            .is_none_or(|renewed| now.saturating_duration_since(renewed) + TERM_MARGIN >= term)
+        self.last_renewal.is_none_or(|last_renewal| {
+            now.saturating_duration_since(last_renewal) + TERM_MARGIN >= term
+        })
     }
 
-    // Whether the process has not run for a while, so that it can't know what others did.
+    // Whether the process did not run for a while, so that it may have missed a takeover.
     fn is_stalled(&self, now: Instant) -> bool {
-        let limit = self.terms.max_renewal_gap * 2 + TERM_MARGIN;
-        self.tried
-            .is_some_and(|tried| now.saturating_duration_since(tried) >= limit)
+        let limit = self.config.max_renewal_gap * 2 + TERM_MARGIN;
+        self.last_attempt
+            .is_some_and(|last_attempt| now.saturating_duration_since(last_attempt) >= limit)
     }
 }
--- a/crates/apricotwell_dispatch/src/lib.rs
+++ b/crates/apricotwell_dispatch/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of an instance that shares a fleet through the platform's store.
+//! Decision logic of an instance whose fleet coordinates through the platform's store.
 //!
-//! Everything here is a state machine that is told the time and what happened; sockets and timers
-//! stand around it in `apricotwell_gateway`. Instants come from a clock that counts the time in which
-//! the machine was suspended. See `docs/design/platform.md`.
+//! Every type here is a state machine without I/O: the current time and all events are passed in.
+//! The sockets and timers are in `apricotwell_gateway`. Instants must come from a clock that also
+//! advances while the machine is suspended. See `docs/design/platform.md`.
 //!
 //! # Examples
 //!
@@ -35,7 +35,7 @@
 pub mod request;
 pub mod retries;
 
-/// What nearly every user of the crate needs.
+/// Types that nearly every user of the crate needs.
 pub mod prelude {
     pub use crate::backends::{BackendEntry, BackendTable};
     pub use crate::catalog::{
--- a/crates/apricotwell_dispatch/src/peers.rs
+++ b/crates/apricotwell_dispatch/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other instances of the fleet.
+//! Other instances of the fleet, as known from their heartbeats and the store's group.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,25 +6,29 @@
 use apricotwell_messages::{Heartbeat, ModelUse};
 use apricotwell_types::{Fence, InstanceId, Map, ZoneId};
 
-/// Pause between heartbeats of a small fleet.
-const HEARTBEAT_PAUSE: Duration = Duration::from_millis(400);
-/// Part of the pause between heartbeats that each instance of a large fleet adds.
-const PAUSE_PER_INSTANCE: Duration = Duration::from_millis(12);
-/// Heartbeats that may be lost before an instance counts as silent.
-const SILENCE_HEARTBEATS: u32 = 4;
-
-/// Returns the pause between heartbeats in a fleet of so many instances: the larger it is, the rarer
-/// they are, so that each instance's share of the traffic stays the same.
+/// Heartbeat interval of a small fleet.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Heartbeat interval per instance of a large fleet.
+const INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(12);
+/// Heartbeat intervals without a heartbeat after which an instance counts as unreachable; a few
+/// heartbeats may be lost.
+const ALIVE_INTERVALS: u32 = 4;
+
+/// Returns the heartbeat interval in a fleet of `instances`.
+///
+/// It grows with the fleet, so that the traffic of each instance stays the same.
 pub fn heartbeat_interval(instances: u32) -> Duration {
-    HEARTBEAT_PAUSE.max(PAUSE_PER_INSTANCE * instances)
+    MIN_HEARTBEAT_INTERVAL.max(INTERVAL_PER_INSTANCE * instances)
 }
 
-/// Heartbeats, in tenths, after which what an instance spends counts as not told.
-const TELLING_TENTHS: u32 = 24;
-/// Time for which an instance that fell silent may still serve on what it knows.
-const MEMORY: Duration = Duration::from_secs(5);
+/// Tenths of the heartbeat interval without a heartbeat after which an instance's spending counts as
+/// unreported.
+const REPORTING_TENTHS: u32 = 24;
+/// Time for which an instance that became unreachable may still be serving requests.
+const PEER_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Silence after which any heartbeat of an instance counts: no datagram is on its way for so long.
+/// Time without heartbeats after which any heartbeat of an instance is accepted: no datagram is in
+/// transit for so long.
 const RESTART_SILENCE: Duration = Duration::from_millis(900);
 
 #[derive(Debug)]
@@ -34,31 +38,32 @@
     address: String,
     ready: bool,
     zone: ZoneId,
-    // Fence under which it orders servers, 0 if it doesn't.
+    // Fencing token with which it orders servers, 0 if it doesn't.
     fence: Fence,
-    heard: Instant,
+    last_heartbeat: Instant,
     models: Vec<ModelUse>,
 }
 
-/// Instances that this one has heard of, without itself.
+/// The other known instances.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     peers: Map<InstanceId, Peer>,
-    // Members by the store's group, with the time at which they were last listed.
+    // Members of the store's group, with the time at which they were last listed.
     members: Map<InstanceId, Instant>,
 }
 
 impl PeerTable {
-    /// Applies a heartbeat; returns whether it is newer than what was known.
+    /// Applies a heartbeat; returns `false` if it is outdated.
     pub fn apply_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
         let order = (heartbeat.incarnation, heartbeat.number);
         let known = self.peers.get(heartbeat.instance.as_str());
-        // After a silence the instance may have started anew with a clock that was set back.
-        let is_late = |peer: &Peer| {
+        // After a time without heartbeats, the instance may have restarted with a clock that was set
+        // back, so that its incarnation is lower.
+        let is_outdated = |peer: &Peer| {
             (peer.incarnation, peer.number) >= order
-                && now.saturating_duration_since(peer.heard) < RESTART_SILENCE
+                && now.saturating_duration_since(peer.last_heartbeat) < RESTART_SILENCE
         };
-        if known.is_some_and(is_late) {
+        if known.is_some_and(is_outdated) {
             return false;
         }
         let peer = Peer {
@@ -68,7 +73,7 @@
             ready: heartbeat.ready,
             zone: heartbeat.zone.as_str().into(),
             fence: heartbeat.fence,
-            heard: now,
+            last_heartbeat: now,
             models: heartbeat.models.clone(),
         };
         self.peers.insert(heartbeat.instance.as_str().into(), peer);
@@ -84,31 +89,32 @@
             .extend(members.into_iter().map(|member| (member, now)));
     }
 
-    /// Keeps the members that were last listed, after a renewal that showed no change.
+    /// Extends the lifetime of the members that were last listed, after a renewal without a change of
+    /// the group.
     pub fn refresh_members(&mut self, now: Instant) {
-        let newest = self.members.values().max().copied();
+        let last_list = self.members.values().max().copied();
         for listed in self.members.values_mut() {
-            if Some(*listed) == newest {
+            if Some(*listed) == last_list {
                 *listed = now;
             }
         }
     }
 
-    /// Forgets instances that can no longer be serving; returns them.
+    /// Removes instances that can no longer be serving; returns those that had sent heartbeats.
     pub fn expire(&mut self, now: Instant) -> Vec<InstanceId> {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < MEMORY;
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < PEER_LIFETIME;
         self.members.retain(|_, listed| is_recent(*listed));
-        let gone: Vec<InstanceId> = self
+        let expired: Vec<InstanceId> = self
             .peers
             .iter()
-            .filter(|(_, peer)| !is_recent(peer.heard))
+            .filter(|(_, peer)| !is_recent(peer.last_heartbeat))
             .map(|(id, _)| id.clone())
             .collect();
-        self.peers.retain(|_, peer| is_recent(peer.heard));
-        gone
+        self.peers.retain(|_, peer| is_recent(peer.last_heartbeat));
+        expired
     }
 
-    /// Returns whom heartbeats go to.
+    /// Returns the instances to send heartbeats to: the group's members and the senders of heartbeats.
     pub fn heartbeat_targets(&self) -> Vec<InstanceId> {
         let mut targets: Vec<InstanceId> = self
             .members
@@ -121,30 +127,30 @@
         targets
     }
 
-    /// Returns the instance that orders servers, if one says so.
+    /// Returns the reachable instance that announces the highest fencing token, if any does.
     pub fn lease_holder(&self, now: Instant) -> Option<InstanceId> {
         let holders = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.fence > 0 && self.is_heard(now, peer));
+            .filter(|(_, peer)| peer.fence > 0 && self.is_alive(now, peer));
         holders
             .max_by_key(|(_, peer)| peer.fence)
             .map(|(id, _)| id.clone())
     }
 
-    /// Returns the addresses of other instances to which callers should be sent.
+    /// Returns the addresses of other instances that clients should connect to.
     pub fn ready_addresses(&self, now: Instant) -> impl Iterator<Item = &str> {
         self.peers
             .values()
-            .filter(move |peer| peer.ready && self.is_heard(now, peer))
+            .filter(move |peer| peer.ready && self.is_alive(now, peer))
             .map(|peer| peer.address.as_str())
     }
 
-    /// Returns the instances that are heard by zone, each zone's in order.
+    /// Returns the reachable instances by zone, sorted within each zone.
     pub fn alive_by_zone(&self, now: Instant) -> BTreeMap<ZoneId, Vec<InstanceId>> {
         let mut zones: BTreeMap<ZoneId, Vec<InstanceId>> = BTreeMap::new();
         for (id, peer) in &self.peers {
-            if self.is_heard(now, peer) {
+            if self.is_alive(now, peer) {
                 zones.entry(peer.zone.clone()).or_default().push(id.clone());
             }
         }
@@ -154,45 +160,45 @@
         zones
     }
 
-    /// Returns the ready instance of a zone with the lowest id.
+    /// Returns the reachable and ready instance of a zone with the lowest id.
     pub fn first_ready(&self, now: Instant, zone: &ZoneId) -> Option<InstanceId> {
         let ready = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.ready && peer.zone == *zone && self.is_heard(now, peer));
+            .filter(|(_, peer)| peer.ready && peer.zone == *zone && self.is_alive(now, peer));
         ready.map(|(id, _)| id.clone()).min()
     }
 
-    /// Returns the number of instances that tell what they do, this one included.
+    /// Returns the number of instances that report their spending in time, including this one.
     pub fn reporting_count(&self, now: Instant) -> usize {
         1 + self
             .peers
             .values()
-            .filter(|peer| self.is_heard_within(now, peer, TELLING_TENTHS))
+            .filter(|peer| self.is_alive_within(now, peer, REPORTING_TENTHS))
             .count()
     }
 
-    /// Returns the number of instances that may be serving, this one included.
+    /// Returns the number of instances that may be serving requests, including this one.
     pub fn possible_count(&self) -> usize {
         1 + self.heartbeat_targets().len()
     }
 
-    /// Returns the demand for models at all other instances that are heard.
+    /// Returns the demand for models at all other reachable instances.
     pub fn model_uses(&self, now: Instant) -> impl Iterator<Item = &ModelUse> {
         self.peers
             .values()
-            .filter(move |peer| self.is_heard(now, peer))
+            .filter(move |peer| self.is_alive(now, peer))
             .flat_map(|peer| &peer.models)
     }
 
-    // Whether callers can be sent to an instance and its word counts.
-    fn is_heard(&self, now: Instant, peer: &Peer) -> bool {
-        self.is_heard_within(now, peer, SILENCE_HEARTBEATS * 10)
+    // Whether an instance is reachable, so that clients are sent to it and its reports are used.
+    fn is_alive(&self, now: Instant, peer: &Peer) -> bool {
+        self.is_alive_within(now, peer, ALIVE_INTERVALS * 10)
     }
 
-    fn is_heard_within(&self, now: Instant, peer: &Peer, tenths: u32) -> bool {
+    fn is_alive_within(&self, now: Instant, peer: &Peer, tenths: u32) -> bool {
         let instances = 1 + self.peers.len() as u32;
-        let silence = heartbeat_interval(instances) * tenths / 10;
-        now.saturating_duration_since(peer.heard) < silence
+        let timeout = heartbeat_interval(instances) * tenths / 10;
+        now.saturating_duration_since(peer.last_heartbeat) < timeout
     }
 }
--- a/crates/apricotwell_dispatch/src/request.rs
+++ b/crates/apricotwell_dispatch/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, as the adapters decode them.
+//! Heads of client requests, as decoded by the platform's adapter.
 
 use std::time::Duration;
 
@@ -6,37 +6,37 @@
 
 use crate::model::RequestedModel;
 
-/// Id of one attempt of a caller; each has its own.
+/// Id of one attempt of a client; a retry by the client has a different one.
 pub type AttemptId = String;
 
-/// Part of a prompt that other requests may share.
+/// Segment of a prompt that other requests may share, so that a server can reuse its cached tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Id.
+    /// Id of the segment's content.
     pub id: u64,
-    /// Tokens.
+    /// Length in tokens.
     pub tokens: Tokens,
 }
 
-/// Request of a caller without its body.
+/// Decoded head of a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
-    /// Attempt.
+    /// Attempt id.
     pub attempt: AttemptId,
     /// Host, in lower case and without a port.
     pub host: String,
-    /// Path without a query.
+    /// Path without the query.
     pub path: String,
-    /// Digest of the key shown, if one was.
+    /// Digest of the API key, if the request has one.
     pub key: Option<KeyDigest>,
-    /// Time for which the caller waits, if it says so.
+    /// The client's timeout, if the request states one.
     pub timeout: Option<Duration>,
-    /// Model wanted, for model engines.
+    /// Requested model, for services with model engines.
     pub requested_model: Option<RequestedModel>,
-    /// Tokens read and written at most, if the caller says so.
+    /// Maximum number of prompt and generated tokens together, if the request states it.
     pub max_tokens: Option<Tokens>,
-    /// Parts of the prompt, in order.
+    /// Segments of the prompt, in order.
     pub prompt: Vec<PromptSegment>,
-    /// Last event that the caller has of a stream that broke off.
+    /// Last event that the client received of a stream that it resumes.
     pub last_event: Option<u64>,
 }
--- a/crates/apricotwell_dispatch/tests/dispatcher.rs
+++ b/crates/apricotwell_dispatch/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Decisions about single requests: taken, sent, kept waiting or refused.
+//! Admission and routing of single requests: accepted, sent, queued or refused.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 const REVOCATION: Duration = Duration::from_secs(5);
 
-fn facts() -> InstanceConfig {
+fn config() -> InstanceConfig {
     InstanceConfig {
         id: "10.0.0.1:7600".into(),
         incarnation: 1,
@@ -109,7 +109,7 @@
     }
 }
 
-fn call(attempt: &str, model: &str) -> RequestHead {
+fn request(attempt: &str, model: &str) -> RequestHead {
     RequestHead {
         attempt: attempt.to_owned(),
         host: "h".to_owned(),
@@ -127,7 +127,7 @@
 }
 
 fn dispatcher(now: Instant) -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(facts());
+    let mut dispatcher = Dispatcher::new(config());
     dispatcher.apply_catalog(catalog());
     dispatcher.freshness.record_read(now);
     for id in ["one", "two", "three"] {
@@ -136,19 +136,19 @@
     dispatcher
 }
 
-fn choose(
+fn select_server(
     dispatcher: &mut Dispatcher,
     now: Instant,
     attempt: &str,
     model: &str,
 ) -> RoutingDecision {
-    let call = call(attempt, model);
-    let admission = dispatcher.admit(now, &call).unwrap();
-    dispatcher.select_server(now, &admission, &call, &[])
+    let request = request(attempt, model);
+    let admission = dispatcher.admit(now, &request).unwrap();
+    dispatcher.select_server(now, &admission, &request, &[])
 }
 
 #[test]
-fn an_older_configuration_never_replaces_a_newer_one() {
+fn an_older_catalog_never_replaces_a_newer_one() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
     let older = Catalog::new(2, ClientLimits::default());
@@ -157,13 +157,13 @@
 }
 
 #[test]
-fn what_an_old_view_lacks_is_not_called_unknown() {
+fn an_outdated_catalog_reports_no_route_or_key_as_unknown() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    let mut other = call("a", "held");
+    let mut other = request("a", "held");
     other.path = "/new/x".to_owned();
-    let kind = |dispatcher: &mut Dispatcher, at, call: &RequestHead| {
-        dispatcher.admit(at, call).unwrap_err().kind
+    let kind = |dispatcher: &mut Dispatcher, at, request: &RequestHead| {
+        dispatcher.admit(at, request).unwrap_err().kind
     };
     assert_eq!(
         kind(&mut dispatcher, now, &other),
@@ -174,7 +174,7 @@
         kind(&mut dispatcher, later, &other),
         RefusalKind::Unavailable
     );
-    let mut unknown = call("b", "held");
+    let mut unknown = request("b", "held");
     unknown.key = Some(KeyDigest::of_secret("other"));
     assert_eq!(
         kind(&mut dispatcher, now, &unknown),
@@ -186,21 +186,21 @@
     );
     let stale = now + REVOCATION;
     assert_eq!(
-        kind(&mut dispatcher, stale, &call("c", "held")),
+        kind(&mut dispatcher, stale, &request("c", "held")),
         RefusalKind::Unavailable
     );
 }
 
 #[test]
-fn requests_spread_over_equal_servers() {
+fn requests_are_spread_evenly_over_equal_servers() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
     let mut counts = std::collections::BTreeMap::new();
     for number in 0..9 {
         let RoutingDecision::Send(server, _) =
-            choose(&mut dispatcher, now, &number.to_string(), "held")
+            select_server(&mut dispatcher, now, &number.to_string(), "held")
         else {
-            panic!("no server");
+            panic!("no server was selected");
         };
         dispatcher.backends.begin_request(now, &server, 900.0);
         *counts.entry(server).or_insert(0) += 1;
@@ -209,25 +209,25 @@
 }
 
 #[test]
-fn a_server_that_fails_is_avoided_and_tried_again_later() {
+fn a_failing_server_is_avoided_and_retried_later() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    let RoutingDecision::Send(first, _) = choose(&mut dispatcher, now, "a", "held") else {
-        panic!("no server");
+    let RoutingDecision::Send(first, _) = select_server(&mut dispatcher, now, "a", "held") else {
+        panic!("no server was selected");
     };
     for _ in 0..4 {
         dispatcher.backends.record_outcome(now, &first, true);
     }
-    let second = choose(&mut dispatcher, now, "b", "held");
+    let second = select_server(&mut dispatcher, now, "b", "held");
     assert!(matches!(second, RoutingDecision::Send(server, _) if server != first));
     let later = now + Duration::from_secs(40);
     dispatcher.freshness.record_read(later);
-    let again = choose(&mut dispatcher, later, "c", "held");
+    let again = select_server(&mut dispatcher, later, "c", "held");
     assert!(matches!(again, RoutingDecision::Send(server, _) if server == first));
 }
 
 #[test]
-fn full_servers_make_requests_wait() {
+fn requests_wait_while_all_servers_are_full() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
     for id in ["one", "two", "three"] {
@@ -236,70 +236,72 @@
         }
     }
     assert_eq!(
-        choose(&mut dispatcher, now, "a", "held"),
+        select_server(&mut dispatcher, now, "a", "held"),
         RoutingDecision::Wait
     );
     dispatcher.backends.end_request("two");
-    let choice = choose(&mut dispatcher, now, "b", "held");
-    assert!(matches!(choice, RoutingDecision::Send(server, _) if &*server == "two"));
+    let decision = select_server(&mut dispatcher, now, "b", "held");
+    assert!(matches!(decision, RoutingDecision::Send(server, _) if &*server == "two"));
 }
 
 #[test]
-fn a_request_waits_for_a_model_only_if_it_can_be_there_in_time() {
+fn a_request_waits_for_a_model_only_if_the_load_ends_in_time() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    // Callers of the route stay for four times its target of a second.
+    // Clients of this route time out after four times its target latency of one second.
     assert_eq!(
-        choose(&mut dispatcher, now, "a", "on-disk"),
+        select_server(&mut dispatcher, now, "a", "on-disk"),
         RoutingDecision::Wait
     );
-    let RoutingDecision::Refuse(refusal) = choose(&mut dispatcher, now, "b", "nowhere") else {
-        panic!("nine seconds are too long");
+    let RoutingDecision::Refuse(refusal) = select_server(&mut dispatcher, now, "b", "nowhere")
+    else {
+        panic!("a load of nine seconds doesn't end in time");
     };
     assert_eq!(refusal.kind, RefusalKind::Overloaded);
     assert!(refusal.retry_after.unwrap() >= Duration::from_secs(9));
-    let RoutingDecision::Refuse(refusal) = choose(&mut dispatcher, now, "c", "unknown") else {
-        panic!("no server can run it");
+    let RoutingDecision::Refuse(refusal) = select_server(&mut dispatcher, now, "c", "unknown")
+    else {
+        panic!("no server can run an unknown model");
     };
     assert_eq!(refusal.kind, RefusalKind::Overloaded);
 }
 
 #[test]
-fn leaving_and_removed_servers_get_nothing() {
+fn draining_and_removed_servers_get_no_requests() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    let leaving = BackendEntry {
+    let draining = BackendEntry {
         draining: true,
         ..entry("one", &["held"])
     };
-    dispatcher.backends.apply_entry(now, leaving);
+    dispatcher.backends.apply_entry(now, draining);
     dispatcher.backends.mark_removed(now, "two", None);
     for number in 0..4 {
-        let choice = choose(&mut dispatcher, now, &number.to_string(), "held");
-        assert!(matches!(choice, RoutingDecision::Send(server, _) if &*server == "three"));
+        let decision = select_server(&mut dispatcher, now, &number.to_string(), "held");
+        assert!(matches!(decision, RoutingDecision::Send(server, _) if &*server == "three"));
     }
     dispatcher
         .backends
         .mark_removed(now, "three", Some(Duration::from_secs(2)));
-    let kept = choose(&mut dispatcher, now, "kept", "held");
+    let kept = select_server(&mut dispatcher, now, "kept", "held");
     assert!(
         matches!(kept, RoutingDecision::Send(..)),
-        "its entry may come back after an outage"
+        "a server removed during an outage is still used"
     );
     let gone = now + Duration::from_secs(3);
     dispatcher.freshness.record_read(gone);
-    let choice = choose(&mut dispatcher, gone, "gone", "held");
-    assert!(matches!(choice, RoutingDecision::Refuse(_)));
+    let decision = select_server(&mut dispatcher, gone, "gone", "held");
+    assert!(matches!(decision, RoutingDecision::Refuse(_)));
 }
 
 #[test]
-fn look_ups_name_ready_instances_that_are_heard() {
+fn client_addresses_are_those_of_ready_and_reachable_instances() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
     let mut other = Dispatcher::new(InstanceConfig {
         id: "10.0.0.2:7600".into(),
         address: "10.0.0.2:80".to_owned(),
-        ..facts()
+        ..config()
     });
     other.apply_catalog(catalog());
     other.freshness.record_read(now);
@@ -307,40 +309,40 @@
     assert!(dispatcher.apply_heartbeat(now, &heartbeat));
     assert!(
         !dispatcher.apply_heartbeat(now, &heartbeat),
-        "a repeat changes nothing"
+        "a repeated heartbeat is outdated"
     );
     assert_eq!(dispatcher.client_addresses(now).len(), 2);
     dispatcher.start_draining();
     assert_eq!(dispatcher.client_addresses(now), ["10.0.0.2:80"]);
-    let silent = now + Duration::from_secs(2);
-    assert!(dispatcher.client_addresses(silent).is_empty());
+    let unreachable = now + Duration::from_secs(2);
+    assert!(dispatcher.client_addresses(unreachable).is_empty());
 }
 
 #[test]
 fn one_ready_instance_of_a_zone_reads_the_store_for_the_others() {
     let now = Instant::now();
     let mut own = dispatcher(now);
-    let tell = |table: &mut Dispatcher, id: &str, zone: &str, ready: bool| {
+    let receive_heartbeat = |receiver: &mut Dispatcher, id: &str, zone: &str, ready: bool| {
         let mut other = if ready {
             dispatcher(now)
         } else {
-            Dispatcher::new(facts())
+            Dispatcher::new(config())
         };
         other.config.id = id.into();
         other.config.zone = zone.into();
         let heartbeat = other.heartbeat(now);
-        assert!(table.apply_heartbeat(now, &heartbeat));
+        assert!(receiver.apply_heartbeat(now, &heartbeat));
     };
     assert_eq!(own.feed_source(now), FeedSource::Store);
-    tell(&mut own, "10.0.0.0:7600", "b", true);
-    tell(&mut own, "10.0.0.0:7601", "a", false);
-    tell(&mut own, "10.0.0.2:7600", "a", true);
-    // Neither another zone's instance nor one that isn't ready or comes later is asked.
+    receive_heartbeat(&mut own, "10.0.0.0:7600", "b", true);
+    receive_heartbeat(&mut own, "10.0.0.0:7601", "a", false);
+    receive_heartbeat(&mut own, "10.0.0.2:7600", "a", true);
+    // The reader must be in the same zone and ready, and have the lowest id.
     assert_eq!(own.feed_source(now), FeedSource::Store);
-    tell(&mut own, "10.0.0.0:7602", "a", true);
+    receive_heartbeat(&mut own, "10.0.0.0:7602", "a", true);
     let first = FeedSource::Peer("10.0.0.0:7602".into());
     assert_eq!(own.feed_source(now), first);
-    // It fell silent; this instance is cut off from the store meanwhile.
+    // The reader stopped sending heartbeats; this instance has lost the store meanwhile.
     let later = now + Duration::from_secs(4);
     own.expire(later);
     assert_eq!(own.feed_source(later), FeedSource::Store);
--- a/crates/apricotwell_dispatch/tests/feeds.rs
+++ b/crates/apricotwell_dispatch/tests/feeds.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of the store's feeds: complete, and never younger than it is.
+//! Answers to feed queries contain all changes and never understate the age of the view.
 
 use std::time::{Duration, Instant};
 
@@ -26,10 +26,10 @@
     }
 }
 
-fn ask(
+fn query(
     views: &FeedViews,
     now: Instant,
-    asked: Instant,
+    sent_at: Instant,
     feed: Feed,
     from: u64,
 ) -> Option<FeedUpdate> {
@@ -39,41 +39,41 @@
         from,
     };
     let answer = views.answer(now, &query)?;
-    decode_answer(asked, from, &answer)
+    decode_answer(sent_at, from, &answer)
 }
 
 #[test]
-fn a_view_is_never_told_younger_than_it_is() {
+fn an_answer_never_understates_the_age_of_the_view() {
     let read = Instant::now();
     let mut views = FeedViews::default();
-    assert!(ask(&views, read, read, Feed::Configuration, 0).is_none());
+    assert!(query(&views, read, read, Feed::Configuration, 0).is_none());
     views.record_position(Feed::Configuration, 7, read);
-    // The question waits at a suspended machine, and its answer at another one.
-    let asked = read + Duration::from_millis(300);
-    for late in [0, 40, 9000] {
-        let answered = asked + Duration::from_millis(late);
-        let told = ask(&views, answered, asked, Feed::Configuration, 7).unwrap();
-        assert!(told.confirmed_at.unwrap() <= read, "{late} ms late");
-        assert_eq!(told.next, 7);
+    // The query is delayed by a suspended machine, and the answer by another one.
+    let sent_at = read + Duration::from_millis(300);
+    for delay in [0, 40, 9000] {
+        let answered_at = sent_at + Duration::from_millis(delay);
+        let update = query(&views, answered_at, sent_at, Feed::Configuration, 7).unwrap();
+        assert!(update.confirmed_at.unwrap() <= read, "{delay} ms late");
+        assert_eq!(update.next, 7);
     }
-    // An answer from memory says no more than the first one.
-    let soon = ask(&views, asked, asked, Feed::Configuration, 7).unwrap();
-    assert!(soon.confirmed_at.unwrap() >= read - Duration::from_millis(2));
+    // Without a delay the bound is exact to the rounding of the age.
+    let prompt = query(&views, sent_at, sent_at, Feed::Configuration, 7).unwrap();
+    assert!(prompt.confirmed_at.unwrap() >= read - Duration::from_millis(2));
 }
 
 #[test]
-fn a_configuration_that_the_asking_instance_lacks_is_read_in_the_store() {
+fn a_missing_configuration_is_read_from_the_store() {
     let now = Instant::now();
     let mut views = FeedViews::default();
     views.record_position(Feed::Configuration, 7, now);
-    assert!(ask(&views, now, now, Feed::Configuration, 6).is_none());
-    // One that is ahead learns that nothing came since.
-    let told = ask(&views, now, now, Feed::Configuration, 9).unwrap();
-    assert_eq!(told.next, 9);
+    assert!(query(&views, now, now, Feed::Configuration, 6).is_none());
+    // An instance that is ahead gets the confirmation that there are no newer changes.
+    let update = query(&views, now, now, Feed::Configuration, 9).unwrap();
+    assert_eq!(update.next, 9);
 }
 
 #[test]
-fn changes_of_the_list_come_complete_and_in_order() {
+fn server_list_changes_are_complete_and_in_order() {
     let now = Instant::now();
     let mut views = FeedViews::default();
     views.reset_changes(100);
@@ -85,25 +85,25 @@
         views.record_change(101 + u64::from(number) * 2, &change);
     }
     views.record_position(Feed::Servers, 300, now);
-    let (mut from, mut seen) = (100, Vec::new());
+    let (mut from, mut changes) = (100, Vec::new());
     loop {
-        let told = ask(&views, now, now, Feed::Servers, from).unwrap();
-        from = told.next;
-        seen.extend(told.changes);
-        if told.confirmed_at.is_some() {
+        let update = query(&views, now, now, Feed::Servers, from).unwrap();
+        from = update.next;
+        changes.extend(update.changes);
+        if update.confirmed_at.is_some() {
             break;
         }
     }
     assert_eq!(from, 300);
-    assert_eq!(seen.len(), 90);
-    assert_eq!(seen[40], ServerListChange::Removed("server-3".into()));
-    assert_eq!(seen[41], ServerListChange::Entry(entry(41)));
-    let rest = ask(&views, now, now, Feed::Servers, 277).unwrap();
+    assert_eq!(changes.len(), 90);
+    assert_eq!(changes[40], ServerListChange::Removed("server-3".into()));
+    assert_eq!(changes[41], ServerListChange::Entry(entry(41)));
+    let rest = query(&views, now, now, Feed::Servers, 277).unwrap();
     assert_eq!(rest.changes, [ServerListChange::Entry(entry(89))]);
 }
 
 #[test]
-fn what_is_no_longer_kept_is_not_told_in_part() {
+fn a_query_for_discarded_changes_gets_no_partial_answer() {
     let now = Instant::now();
     let mut views = FeedViews::default();
     views.reset_changes(100);
@@ -111,11 +111,11 @@
         views.record_change(101 + number, &ServerListChange::Entry(entry(1)));
     }
     views.record_position(Feed::Servers, 5100, now);
-    assert!(ask(&views, now, now, Feed::Servers, 100).is_none());
-    assert!(ask(&views, now, now, Feed::Servers, 99).is_none());
-    assert!(ask(&views, now, now, Feed::Servers, 5000).is_some());
-    // After a whole list nothing from before it is known.
+    assert!(query(&views, now, now, Feed::Servers, 100).is_none());
+    assert!(query(&views, now, now, Feed::Servers, 99).is_none());
+    assert!(query(&views, now, now, Feed::Servers, 5000).is_some());
+    // Reading the whole list discards the earlier changes.
     views.reset_changes(6000);
     views.record_position(Feed::Servers, 6000, now);
-    assert!(ask(&views, now, now, Feed::Servers, 5100).is_none());
+    assert!(query(&views, now, now, Feed::Servers, 5100).is_none());
 }
--- a/crates/apricotwell_dispatch/tests/freshness.rs
+++ b/crates/apricotwell_dispatch/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! The age of the view, which bounds the life of a withdrawn key.
+//! Limits on the age of the configuration, which bound how long a revoked key works.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 const REVOCATION: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_view_that_was_never_read_honours_nothing() {
+fn a_configuration_that_was_never_read_is_not_used() {
     let freshness = Freshness::new(REVOCATION);
     let now = Instant::now();
     assert!(!freshness.is_usable(now));
@@ -17,21 +17,21 @@
 }
 
 #[test]
-fn keys_stop_before_the_bound_and_callers_are_sent_away_before_that() {
+fn clients_are_redirected_before_keys_are_refused_within_the_bound() {
     let now = Instant::now();
     let mut freshness = Freshness::new(REVOCATION);
     freshness.record_read(now);
-    let cut = (0..5000).find(|ms| !freshness.is_usable(now + Duration::from_millis(*ms)));
+    let unusable = (0..5000).find(|ms| !freshness.is_usable(now + Duration::from_millis(*ms)));
     let unready = (0..5000).find(|ms| !freshness.is_ready(now + Duration::from_millis(*ms)));
     assert!(
-        cut.is_some_and(|cut| cut > 3000),
-        "served while that is safe"
+        unusable.is_some_and(|unusable| unusable > 3000),
+        "keys are accepted for as long as that is safe"
     );
-    assert!(unready < cut);
+    assert!(unready < unusable);
 }
 
 #[test]
-fn an_older_read_does_not_make_the_view_older() {
+fn an_older_read_does_not_increase_the_age() {
     let now = Instant::now();
     let mut freshness = Freshness::new(REVOCATION);
     freshness.record_read(now + Duration::from_secs(1));
--- a/crates/apricotwell_dispatch/tests/lease.rs
+++ b/crates/apricotwell_dispatch/tests/lease.rs
@@ -1,10 +1,10 @@
-//! The placement lease: who may order, and from when.
+//! The placement lease: which instance may send orders, and from when on.
 
 use std::time::{Duration, Instant};
 
 use apricotwell_dispatch::lease::{ClaimStatus, Lease, LeaseAction, LeaseConfig};
 
-const TERMS: LeaseConfig = LeaseConfig {
+const FENCED: LeaseConfig = LeaseConfig {
     term: Duration::from_millis(1800),
     handover_pause: Duration::from_millis(3000),
     max_renewal_gap: Duration::from_millis(700),
@@ -12,17 +12,17 @@
 };
 const UNFENCED: LeaseConfig = LeaseConfig {
     fenced: false,
-    ..TERMS
+    ..FENCED
 };
-const RENEWAL: Duration = Duration::from_millis(500);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
 fn renew(lease: &mut Lease, now: Instant, changed: bool) -> LeaseAction {
     lease.begin_renewal(now);
     lease.complete_renewal(now, changed)
 }
 
-fn holder(terms: LeaseConfig, now: Instant) -> Lease {
-    let mut lease = Lease::new(terms);
+fn holder(config: LeaseConfig, now: Instant) -> Lease {
+    let mut lease = Lease::new(config);
     assert_eq!(renew(&mut lease, now, true), LeaseAction::Check);
     assert_eq!(
         lease.apply_status(ClaimStatus::Unclaimed, true),
@@ -35,12 +35,12 @@
 
 #[test]
 fn only_the_candidate_claims_a_free_lease() {
-    for standing in [ClaimStatus::Unclaimed, ClaimStatus::Dropped] {
-        let mut lease = Lease::new(TERMS);
-        assert_eq!(lease.apply_status(standing, false), LeaseAction::Keep);
-        assert_eq!(lease.apply_status(standing, true), LeaseAction::Claim);
+    for status in [ClaimStatus::Unclaimed, ClaimStatus::Dropped] {
+        let mut lease = Lease::new(FENCED);
+        assert_eq!(lease.apply_status(status, false), LeaseAction::Keep);
+        assert_eq!(lease.apply_status(status, true), LeaseAction::Claim);
     }
-    let mut lease = Lease::new(TERMS);
+    let mut lease = Lease::new(FENCED);
     assert_eq!(
         lease.apply_status(ClaimStatus::Taken, true),
         LeaseAction::Keep
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn a_restarted_holder_takes_its_lease_back_at_once() {
+fn a_restarted_holder_reclaims_its_lease_immediately() {
     let now = Instant::now();
-    let mut lease = Lease::new(TERMS);
+    let mut lease = Lease::new(FENCED);
     assert_eq!(
         lease.apply_status(ClaimStatus::Own, false),
         LeaseAction::Claim
@@ -61,25 +61,26 @@
 }
 
 #[test]
-fn a_successor_waits_for_the_pause_between_two_holders() {
+fn a_successor_waits_for_the_handover_pause() {
     let now = Instant::now();
-    for (terms, standing, least) in [
-        (UNFENCED, ClaimStatus::Dropped, TERMS.handover_pause),
-        // The group drops a member after the term; its last order came at most one renewal later.
+    for (config, status, min_delay) in [
+        (UNFENCED, ClaimStatus::Dropped, FENCED.handover_pause),
+        // The group removes a member after the term; its last order came at most one renewal gap after
+        // its last renewal.
         (
-            TERMS,
+            FENCED,
             ClaimStatus::Dropped,
-            TERMS.handover_pause + TERMS.max_renewal_gap - TERMS.term,
+            FENCED.handover_pause + FENCED.max_renewal_gap - FENCED.term,
         ),
     ] {
-        let mut lease = Lease::new(terms);
+        let mut lease = Lease::new(config);
         lease.complete_renewal(now, true);
-        lease.apply_claim(now, 2, standing);
-        let early = now + least - Duration::from_millis(1);
+        lease.apply_claim(now, 2, status);
+        let early = now + min_delay - Duration::from_millis(1);
         keep_alive(&mut lease, now, early);
-        assert_eq!(lease.fence(early), None, "{standing:?}");
-        keep_alive(&mut lease, early, now + least);
-        assert_eq!(lease.fence(now + least), Some(2), "{standing:?}");
+        assert_eq!(lease.fence(early), None, "{status:?}");
+        keep_alive(&mut lease, early, now + min_delay);
+        assert_eq!(lease.fence(now + min_delay), Some(2), "{status:?}");
     }
 }
 
@@ -87,7 +88,7 @@
     let mut now = from;
     while now <= until {
         assert_eq!(renew(lease, now, false), LeaseAction::Keep);
-        now += RENEWAL;
+        now += RENEWAL_INTERVAL;
     }
 }
 
@@ -100,91 +101,95 @@
 }
 
 #[test]
-fn a_fenced_holder_goes_on_while_the_store_is_silent() {
+fn a_fenced_holder_continues_while_the_store_does_not_answer() {
     let now = Instant::now();
-    let mut lease = holder(TERMS, now);
-    let mut tried = now;
-    while tried < now + Duration::from_secs(9) {
-        tried += RENEWAL;
-        lease.begin_renewal(tried);
+    let mut lease = holder(FENCED, now);
+    let mut attempt = now;
+    while attempt < now + Duration::from_secs(9) {
+        attempt += RENEWAL_INTERVAL;
+        lease.begin_renewal(attempt);
     }
-    assert_eq!(lease.fence(tried), Some(1));
+    assert_eq!(lease.fence(attempt), Some(1));
     assert_eq!(lease.fence(now + Duration::from_secs(13)), None);
     lease.observe_fence(2);
-    assert_eq!(lease.fence(tried), None, "a successor orders");
+    assert_eq!(lease.fence(attempt), None, "a successor sends orders");
 }
 
 #[test]
-fn a_paused_holder_does_not_order_when_it_wakes() {
+fn a_suspended_holder_sends_no_orders_when_it_resumes() {
     let now = Instant::now();
-    let mut lease = holder(TERMS, now);
-    let awake = now + Duration::from_secs(4);
-    assert_eq!(lease.fence(awake), None, "before it has tried to renew");
-    lease.begin_renewal(awake);
-    assert_eq!(lease.fence(awake), None, "before the store has answered");
-    assert_eq!(lease.complete_renewal(awake, true), LeaseAction::Check);
+    let mut lease = holder(FENCED, now);
+    let resumed = now + Duration::from_secs(4);
+    assert_eq!(lease.fence(resumed), None, "before it has tried to renew");
+    lease.begin_renewal(resumed);
+    assert_eq!(
+        lease.fence(resumed),
+        None,
+        "before the store has confirmed the renewal"
+    );
+    assert_eq!(lease.complete_renewal(resumed, true), LeaseAction::Check);
     assert_eq!(
         lease.apply_status(ClaimStatus::Taken, true),
         LeaseAction::Keep
     );
-    assert_eq!(lease.fence(awake), None);
+    assert_eq!(lease.fence(resumed), None);
 }
 
 #[test]
-fn a_holder_that_dropped_its_claim_looks_whether_it_may_claim_anew() {
+fn a_holder_that_released_its_claim_checks_whether_it_may_reclaim() {
     let now = Instant::now();
-    let mut lease = holder(TERMS, now);
-    // Held up for longer than a renewal, but not so long that the group dropped it.
-    let awake = now + Duration::from_millis(1750);
-    lease.begin_renewal(awake);
-    assert_eq!(lease.fence(awake), None);
-    assert_eq!(lease.complete_renewal(awake, false), LeaseAction::Check);
+    let mut lease = holder(FENCED, now);
+    // Stalled for longer than two renewal gaps, but not so long that the group removed it.
+    let resumed = now + Duration::from_millis(1750);
+    lease.begin_renewal(resumed);
+    assert_eq!(lease.fence(resumed), None);
+    assert_eq!(lease.complete_renewal(resumed, false), LeaseAction::Check);
     assert_eq!(
         lease.apply_status(ClaimStatus::Own, false),
         LeaseAction::Claim
     );
-    lease.apply_claim(awake, 2, ClaimStatus::Own);
-    assert_eq!(lease.fence(awake), Some(2));
-    let next = awake + RENEWAL;
+    lease.apply_claim(resumed, 2, ClaimStatus::Own);
+    assert_eq!(lease.fence(resumed), Some(2));
+    let next = resumed + RENEWAL_INTERVAL;
     assert_eq!(renew(&mut lease, next, false), LeaseAction::Keep);
 }
 
 #[test]
-fn a_holder_looks_at_the_log_after_a_gap_in_its_renewals() {
+fn a_holder_checks_the_log_after_a_gap_in_its_renewals() {
     let now = Instant::now();
-    let mut lease = holder(TERMS, now);
-    let mut tried = now;
+    let mut lease = holder(FENCED, now);
+    let mut attempt = now;
     for _ in 0..5 {
-        tried += RENEWAL;
-        lease.begin_renewal(tried);
+        attempt += RENEWAL_INTERVAL;
+        lease.begin_renewal(attempt);
     }
-    assert_eq!(lease.complete_renewal(tried, false), LeaseAction::Check);
+    assert_eq!(lease.complete_renewal(attempt, false), LeaseAction::Check);
     let mut replaced = lease;
     assert_eq!(
         replaced.apply_status(ClaimStatus::Taken, true),
         LeaseAction::Stop
     );
-    assert_eq!(replaced.fence(tried), None);
+    assert_eq!(replaced.fence(attempt), None);
 }
 
 #[test]
-fn a_refused_fence_ends_the_claim() {
+fn a_rejected_fencing_token_ends_the_claim() {
     let now = Instant::now();
-    let mut lease = holder(TERMS, now);
+    let mut lease = holder(FENCED, now);
     lease.on_fenced();
     assert_eq!(lease.fence(now), None);
     assert!(!lease.is_held(now));
 }
 
 #[test]
-fn a_previous_holder_has_stopped_before_its_successor_orders() {
+fn a_previous_holder_stops_before_its_successor_sends_orders() {
     let now = Instant::now();
-    let mut previous = holder(TERMS, now);
-    let mut next = Lease::new(TERMS);
+    let mut previous = holder(FENCED, now);
+    let mut next = Lease::new(FENCED);
     let claimed = now + Duration::from_secs(2);
     next.complete_renewal(claimed, true);
     next.apply_claim(claimed, 2, ClaimStatus::Dropped);
-    let mut heard = None;
+    let mut announcement = None;
     let mut at = now;
     while at < claimed {
         previous.begin_renewal(at);
@@ -192,14 +197,15 @@
     }
     while next.fence(at).is_none() {
         keep_alive(&mut next, at, at);
-        // The store does not answer the previous holder, which servers would still obey.
+        // The store does not answer the previous holder, whose orders servers still accept.
         previous.begin_renewal(at);
         if let Some(fence) = next.announced_fence(at) {
-            // The news takes a third of a second; the previous holder, cut off, goes on till then.
-            heard.get_or_insert((at + Duration::from_millis(330), fence));
+            // The announcement takes a third of a second; until it arrives, the previous holder
+            // continues.
+            announcement.get_or_insert((at + Duration::from_millis(330), fence));
         }
-        if let Some((when, fence)) = heard
-            && when <= at
+        if let Some((arrival, fence)) = announcement
+            && arrival <= at
         {
             previous.observe_fence(fence);
         }
