--- a/crates/apricotwell_dispatch/src/backends.rs
+++ b/crates/apricotwell_dispatch/src/backends.rs
@@ -7,7 +7,7 @@
 use apricotwell_types::{Fence, InstanceId, Map, ServerId, ZoneId};
 
 use crate::catalog::ServiceId;
-use crate::model::{Holdings, ModelName, RequestedModel};
+use crate::model::{Inventory, ModelName, RequestedModel};
 
 /// Weight of a new outcome in the moving average of a server's failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
@@ -40,7 +40,7 @@
     /// Start time of the server's process, in milliseconds since the Unix epoch; identifies the process.
     pub started_ms: u64,
     /// Models that the server holds.
-    pub holdings: Holdings,
+    pub inventory: Inventory,
 }
 
 /// A model load in progress on a server.
@@ -59,7 +59,7 @@
     pub entry: BackendEntry,
     /// Models that the server holds, according to the lease holder's inventory if there is a recent one,
     /// otherwise to the list entry.
-    pub holdings: Holdings,
+    pub inventory: Inventory,
     /// Model load in progress.
     pub loading: Option<Loading>,
     /// Requests in flight from this instance.
@@ -85,7 +85,7 @@
 impl Backend {
     fn new(now: Instant, entry: BackendEntry) -> Self {
         Self {
-            holdings: entry.holdings.clone(),
+            inventory: entry.inventory.clone(),
             entry,
             loading: None,
             own_requests: 0,
@@ -136,7 +136,7 @@
         let is_rejected = self.rejected.as_ref().is_some_and(|(rejected, at)| {
             rejected == requested && now.saturating_duration_since(*at) < REJECTION_LIFETIME
         });
-        !is_rejected && self.holdings.serves(requested)
+        !is_rejected && self.inventory.serves(requested)
     }
 }
 
@@ -186,11 +186,11 @@
             .inventory_at
             .is_some_and(|at| now.saturating_duration_since(at) < INVENTORY_LIFETIME);
         if !has_inventory {
-            server.holdings = entry.holdings.clone();
+            server.inventory = entry.inventory.clone();
             server.loading = None;
         } else {
-            server.holdings.in_memory = entry.holdings.in_memory.clone();
-            server.holdings.on_disk = entry.holdings.on_disk.clone();
+            server.inventory.in_memory = entry.inventory.in_memory.clone();
+            server.inventory.on_disk = entry.inventory.on_disk.clone();
         }
         server.entry = entry;
     }
@@ -220,7 +220,7 @@
             if server.inventory_at.is_some_and(is_old) {
                 server.inventory_at = None;
                 server.loading = None;
-                server.holdings = server.entry.holdings.clone();
+                server.inventory = server.entry.inventory.clone();
             }
         }
     }
@@ -244,8 +244,8 @@
         }
         server.fence = fence;
         server.inventory_at = Some(now);
-        server.holdings.orders = inventory.orders;
-        server.holdings.models = inventory
+        server.inventory.orders = inventory.orders;
+        server.inventory.models = inventory
             .models
             .iter()
             .map(|held| {
--- a/crates/apricotwell_dispatch/src/dispatcher/selection.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/selection.rs
@@ -170,7 +170,7 @@
     let spec = service.engine.as_ref()?.model(&requested.model)?;
     let held = usable
         .iter()
-        .any(|server| server.holdings.adapters(&requested.model).is_some());
+        .any(|server| server.inventory.adapters(&requested.model).is_some());
     if held {
         // Only the adapter is missing, or the server has just rejected the model.
         return Some(LOAD_OVERHEAD);
@@ -186,11 +186,11 @@
         let busy_time = server.loading.as_ref().map_or(Duration::ZERO, |loading| {
             loading.ends_at.saturating_duration_since(now)
         });
-        let holdings = &server.holdings;
-        if holdings.in_memory.contains(&requested.model) {
+        let inventory = &server.inventory;
+        if inventory.in_memory.contains(&requested.model) {
             return Some(busy_time + spec.memory_load);
         }
-        let on_disk = holdings.on_disk.contains(&requested.model);
+        let on_disk = inventory.on_disk.contains(&requested.model);
         on_disk.then_some(busy_time + spec.disk_load)
     });
     Some(cached.min().unwrap_or(spec.store_load).min(spec.store_load) + LOAD_OVERHEAD)
--- a/crates/apricotwell_dispatch/src/inventory_updates.rs
+++ b/crates/apricotwell_dispatch/src/inventory_updates.rs
@@ -7,7 +7,7 @@
 use apricotwell_types::ServerId;
 
 use crate::backends::BackendTable;
-use crate::model::Holdings;
+use crate::model::Inventory;
 use crate::orders::ServerOrders;
 use crate::placement::PlacementPlanner;
 
@@ -93,7 +93,7 @@
             // A new lease holder has sent nothing yet: only differences from the list count.
             None => list.get(id).is_some_and(|server| {
                 inventory.loading.is_empty()
-                    && encode_models(&server.entry.holdings) == inventory.models
+                    && encode_models(&server.entry.inventory) == inventory.models
             }),
         }
     }
@@ -110,13 +110,13 @@
 }
 
 fn encode_inventory(now: Instant, id: &ServerId, server: &ServerOrders) -> Option<ServerStock> {
-    let holdings = server.servable(now)?;
+    let inventory = server.servable(now)?;
     let loading = server.loading();
     Some(ServerStock {
         server: id.to_string(),
-        born: server.born(),
-        orders: holdings.orders,
-        models: encode_models(&holdings),
+        born: server.started_ms(),
+        orders: inventory.orders,
+        models: encode_models(&inventory),
         loading: loading
             .map(|(model, _)| model.to_string())
             .unwrap_or_default(),
@@ -126,8 +126,8 @@
     })
 }
 
-fn encode_models(holdings: &Holdings) -> Vec<ModelHeld> {
-    let models = holdings.models.iter();
+fn encode_models(inventory: &Inventory) -> Vec<ModelHeld> {
+    let models = inventory.models.iter();
     models
         .map(|(model, adapters)| ModelHeld {
             model: model.to_string(),
--- a/crates/apricotwell_node/src/node/duties.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -1,4 +1,4 @@
-//! Duties of held shards: leases, servers, placement, orders and checkpoints.
+//! Work of a shard's lease holder: leases, servers, placement, orders and checkpoints.
 
 use std::time::Instant;
 
@@ -12,16 +12,16 @@
 use apricotwell_types::{ServerId, Set, shard_of};
 
 use super::{Node, PLAN_PERIOD};
-use crate::order_desk::OrderView;
+use crate::order_manager::OrderView;
 use crate::{Action, OrderKind, OrderOutcome, ServerReport};
 
-/// Part of the log's retention after which claims are written anew.
+/// Claims are rewritten once per log retention divided by this number.
 const REPUBLISH_DIVISOR: u32 = 4;
-/// Shard whose holder writes checkpoints.
+/// Shard whose lease holder writes checkpoints.
 const CHECKPOINT_SHARD: u32 = 0;
 
 impl Node {
-    /// Takes a report of an engine, `None` when it could not be reached.
+    /// Handles an engine's report, or `None` when the engine could not be reached.
     pub fn on_report(&mut self, now: Instant, server: &ServerId, report: Option<ServerReport>) {
         if let Some(report) = &report {
             let load = apricotwell_routing::LoadReport {
@@ -36,15 +36,15 @@
             let suspect = apricotwell_records::Suspect { digest };
             self.writer.push(Body::Suspect(suspect));
             let event = Event::new(EventKind::ServerCrashed).with_server(server.to_string());
-            self.event(now, event);
+            self.emit(now, event);
         }
-        self.release_cooling(now, server);
+        self.resume_checked(now, server);
         self.next_plan = now;
-        self.pump(now);
+        self.dispatch_queued(now);
         self.flush(now);
     }
 
-    /// Takes the outcome of an order.
+    /// Handles the outcome of an order.
     pub fn on_order_ended(&mut self, now: Instant, ticket: u64, outcome: OrderOutcome) {
         let Some((replica, kind)) = self.orders.on_ended(ticket, outcome) else {
             return;
@@ -63,13 +63,13 @@
         }
         let detail = format!("{kind:?} {outcome:?}");
         let event = Event::new(EventKind::OrderEnded).with_replica(replica);
-        self.event(now, event.with_detail(detail));
+        self.emit(now, event.with_detail(detail));
         self.next_plan = now;
-        self.run_duties(now);
+        self.run_coordination(now);
         self.flush(now);
     }
 
-    pub(super) fn run_duties(&mut self, now: Instant) {
+    pub(super) fn run_coordination(&mut self, now: Instant) {
         if now < self.next_plan {
             return;
         }
@@ -77,30 +77,31 @@
         let fleet = &self.fleet;
         let state = &self.state;
         let shards = self.settings.genesis.shards;
-        // A bucket outlives a lapse of the view: made anew within its term it would be too full.
+        // Buckets are kept by the recorded lease, even while this instance may not act on it: a
+        // bucket that is recreated within its term would hold too many tokens.
         let fence_of = |org: &str| fleet.recorded_fence(state, shard_of(org, shards));
         self.tokens.retain(now, fence_of);
-        self.hold_claims(now);
+        self.keep_claims_open(now);
         self.poll_servers(now);
-        self.order_replicas(now);
+        self.send_orders(now);
         if self.writer.is_idle() && self.fleet.reaches_log(now) {
             self.write_records(now);
         }
     }
 
-    // Every held claim shard is kept open, so that its claims are written anew before the log
-    // drops them, whether or not anybody asks.
-    fn hold_claims(&mut self, now: Instant) {
+    // Keeps every held claim shard open, so that its claims are rewritten before the log drops
+    // them, even if no request needs one.
+    fn keep_claims_open(&mut self, now: Instant) {
         let period = self.settings.log_retention / REPUBLISH_DIVISOR;
         for shard in self.fleet.own_shards() {
             if let Some(fence) = self.fleet.fence(now, shard) {
-                self.claim_holder.hold(now, shard, fence, period);
+                self.claim_coordinator.keep_open(now, shard, fence, period);
             }
         }
     }
 
-    // Everything here follows from the state anew each time, so nothing is lost when an append
-    // fails or the lease moves.
+    // All of these records are derived from the state in each round, so nothing is lost when an
+    // append fails or the lease moves.
     fn write_records(&mut self, now: Instant) {
         let plan = self.fleet.plan(now, &self.state);
         for take in plan.hand {
@@ -126,7 +127,8 @@
         self.write_checkpoint(now);
     }
 
-    // The bucket goes ahead of the lease: the new holder finds it there when it reads the lease.
+    // Sends the buckets before the lease record, so that the new holder has them when it reads the
+    // lease.
     fn hand_over(&mut self, now: Instant, take: Take) {
         let shards = self.settings.genesis.shards;
         for shard in &take.shards {
@@ -147,7 +149,7 @@
         let fence_of = |model: &str| fleet.fence(now, state.model_shard(model));
         self.demand.retain(|model| fence_of(model).is_some());
         for (_, replica) in state.ledger().replicas() {
-            // A new holder does not know the model's use: it counts as used now.
+            // A new lease holder does not know when the model was last used, so it assumes now.
             if fence_of(&replica.model).is_some() && self.demand.last_use(&replica.model).is_none()
             {
                 self.demand.touch(now, &replica.model);
@@ -173,11 +175,11 @@
             steps.extend(fence.map(|fence| Step::Retire { replica, fence }));
         }
         for step in steps {
-            self.take_step(now, step);
+            self.apply_step(now, step);
         }
     }
 
-    fn take_step(&mut self, now: Instant, step: Step) {
+    fn apply_step(&mut self, now: Instant, step: Step) {
         match step {
             Step::Decide {
                 model,
@@ -199,11 +201,11 @@
             Step::Retire { replica, fence } => {
                 self.writer.push(Body::Retire(Retire { replica, fence }));
             }
-            Step::Reclaim { replica } => self.ask_to_reclaim(now, replica),
+            Step::Reclaim { replica } => self.request_reclaim(now, replica),
         }
     }
 
-    fn ask_to_reclaim(&mut self, now: Instant, replica: u64) {
+    fn request_reclaim(&mut self, now: Instant, replica: u64) {
         let Some(record) = self.state.ledger().replica(replica) else {
             return;
         };
@@ -226,49 +228,54 @@
         self.planner.may_reclaim(now, &view, replica)
     }
 
-    fn order_replicas(&mut self, now: Instant) {
+    fn send_orders(&mut self, now: Instant) {
         let fleet = &self.fleet;
         let state = &self.state;
         let shards = self.settings.genesis.shards;
         let term_of = |model: &str| fleet.term(now, state.model_shard(model));
-        let tickets = &mut self.tickets;
+        let last_ticket = &mut self.last_ticket;
         let view = OrderView {
             now,
             state,
             servers: &self.servers,
         };
-        let mut orders = self.orders.orders(&view, tickets, term_of);
+        let mut orders = self.orders.due_orders(&view, last_ticket, term_of);
         let is_held = |id: &ServerId| fleet.fence(now, shard_of(id, shards)).is_some();
-        for orphan in self.servers.orphans(state, is_held) {
-            let term = fleet.term(now, shard_of(&orphan.0, shards));
-            let report = self.servers.report(&orphan.0);
+        for unknown in self.servers.unknown_replicas(state, is_held) {
+            let term = fleet.term(now, shard_of(&unknown.0, shards));
+            let report = self.servers.report(&unknown.0);
             if let (Some(term), Some((_, report))) = (term, report) {
                 let incarnation = report.incarnation;
-                let order =
-                    self.orders
-                        .unload_orphan(now, state, orphan, incarnation, &term, tickets);
+                let order = self.orders.unload_unknown(
+                    now,
+                    state,
+                    unknown,
+                    incarnation,
+                    &term,
+                    last_ticket,
+                );
                 orders.extend(order);
             }
         }
         for order in orders {
-            self.note_order(now, &order);
+            self.emit_order_event(now, &order);
             self.actions.push(order);
         }
     }
 
-    fn note_order(&mut self, now: Instant, action: &Action) {
+    fn emit_order_event(&mut self, now: Instant, action: &Action) {
         if let Action::Order { server, order, .. } = action {
             let event = Event::new(EventKind::OrderSent)
                 .with_server(server.to_string())
                 .with_model(order.model.to_string())
                 .with_replica(order.replica)
                 .with_detail(format!("{:?} number {}", order.kind, order.fencing_token));
-            self.event(now, event);
+            self.emit(now, event);
         }
     }
 
-    // A daemon watches the servers of its shards, those with its orders, and those that a model
-    // which waits for a load could go to.
+    // Polls the servers of held shards, those with pending orders of this instance, and those of
+    // the pools that requested models could be loaded in.
     fn poll_servers(&mut self, now: Instant) {
         let fleet = &self.fleet;
         let state = &self.state;
@@ -281,25 +288,25 @@
             .map(|model| model.pool.as_str())
             .collect();
         let orders = &self.orders;
-        let wanted = |id: &ServerId| {
+        let is_watched = |id: &ServerId| {
             let pool = state.ledger().server(id).map(|server| server.pool.as_str());
             fleet.fence(now, shard_of(id, shards)).is_some()
-                || orders.watches(state, id)
+                || orders.has_pending(state, id)
                 || pool.is_some_and(|pool| pools.contains(&pool))
         };
-        for (server, address) in self.servers.polls(now, state, wanted) {
+        for (server, address) in self.servers.polls(now, state, is_watched) {
             self.actions.push(Action::Poll { server, address });
         }
     }
 
-    // A torn or repeated checkpoint is harmless, so its append needs no outcome.
+    // Readers ignore incomplete and repeated checkpoints, so the append needs no result.
     fn write_checkpoint(&mut self, now: Instant) {
         let next = self.state.next();
-        let due = next >= self.checkpointed + self.settings.checkpoint_records;
+        let due = next >= self.last_checkpoint + self.settings.checkpoint_records;
         if !due || self.fleet.fence(now, CHECKPOINT_SHARD).is_none() {
             return;
         }
-        self.checkpointed = next;
+        self.last_checkpoint = next;
         let chunks = chunk_checkpoint(&self.state, &self.settings.id, self.settings.incarnation);
         let records = chunks.iter().map(|chunk| chunk.encode_to_vec()).collect();
         self.actions.push(Action::Append {
@@ -308,6 +315,6 @@
             records,
         });
         let event = Event::new(EventKind::CheckpointWritten).with_offset(next);
-        self.event(now, event);
+        self.emit(now, event);
     }
 }
--- a/crates/apricotwell_node/src/node/ending.rs
+++ b/crates/apricotwell_node/src/node/failures.rs
@@ -1,4 +1,4 @@
-//! Requests that fail, expire or are refused.
+//! Failed, expired and rejected requests.
 
 use std::time::{Duration, Instant};
 
@@ -7,20 +7,20 @@
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
 
 use super::Node;
-use super::serving::BUSY_RETRY;
+use super::serving::BUSY_RETRY_DELAY;
 use crate::requests::{Request, Stage};
 use crate::{Action, AttemptOutcome, Target};
 
-/// Time in which a poll must tell whether a server crashed.
-const CRASH_CHECK: Duration = Duration::from_millis(1500);
+/// Time within which a poll must show whether a server crashed.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Node {
-    pub(super) fn after_failure(
+    pub(super) fn retry_or_fail(
         &mut self,
         now: Instant,
         id: RequestId,
         server: &ServerId,
-        end: &AttemptOutcome,
+        outcome: &AttemptOutcome,
     ) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -32,48 +32,48 @@
             request.submission.org.clone(),
             request.submission.queue_name(),
         );
-        let broken = matches!(end, AttemptOutcome::Disconnected { .. });
+        let broken = matches!(outcome, AttemptOutcome::Disconnected { .. });
         let is_engine = matches!(request.submission.target, Target::Model(_));
         if broken && is_engine {
             let incarnation = self.state.ledger().server(server);
             let incarnation = incarnation.map(|record| record.incarnation);
-            self.servers.suspect(server, body, incarnation);
+            self.servers.suspect_crash(server, body, incarnation);
             self.next_plan = now;
         }
         let may_retry = class.is_repeatable()
-            && !end.is_partial()
+            && !outcome.is_partial()
             && attempts < self.settings.max_attempts
-            && self.budgets.entry(key).or_default().withdraw();
+            && self.retry_budgets.entry(key).or_default().withdraw();
         if !may_retry {
-            self.end_failed(now, id, end);
+            self.fail(now, id, outcome);
             return;
         }
         let event = Event::new(EventKind::RequestRetried).with_request(self.request_name(id));
-        self.event(now, event);
+        self.emit(now, event);
         if broken && is_engine {
-            let until = now + CRASH_CHECK;
+            let until = now + CRASH_CHECK_TIMEOUT;
             if let Some(request) = self.requests.get_mut(id) {
-                request.stage = Stage::Cooling {
+                request.stage = Stage::CheckingCrash {
                     server: server.clone(),
                     until,
                 };
             }
         } else {
-            self.enqueue_free(now, id);
+            self.enqueue(now, id);
         }
     }
 
-    pub(super) fn end_failed(&mut self, now: Instant, id: RequestId, end: &AttemptOutcome) {
-        let ending = end.ending().unwrap_or(Ending::OutcomeUnknown);
-        let message = match end {
-            AttemptOutcome::Failed => "the backend server ran the request and failed",
+    pub(super) fn fail(&mut self, now: Instant, id: RequestId, outcome: &AttemptOutcome) {
+        let ending = outcome.ending().unwrap_or(Ending::OutcomeUnknown);
+        let message = match outcome {
+            AttemptOutcome::Failed => "the backend server ran the request and reported a failure",
             AttemptOutcome::Stalled { .. } => "the backend server made no progress in time",
             _ => "the connection to the backend server broke while it ran the request",
         };
         let refusal = Refusal::not_run(RefusalKind::BackendFailed, message).with_ending(ending);
         let refusal = match self.requests.get(id) {
             Some(request) if request.submission.class.is_repeatable() => {
-                refusal.with_retry_after(BUSY_RETRY)
+                refusal.with_retry_after(BUSY_RETRY_DELAY)
             }
             _ => refusal,
         };
@@ -82,45 +82,45 @@
 
     pub(super) fn expire_requests(&mut self, now: Instant) {
         for entry in self.queue.expire(now) {
-            self.refuse_late(now, entry.request);
+            self.refuse_expired(now, entry.request);
         }
         let late: Vec<(RequestId, bool)> = self
             .requests
             .iter()
             .filter_map(|(id, request)| match request.stage {
-                Stage::Tokens if now >= request.submission.deadline => Some((id, true)),
-                Stage::Cooling { until, .. } if now >= until => Some((id, false)),
+                Stage::AwaitingTokens if now >= request.submission.deadline => Some((id, true)),
+                Stage::CheckingCrash { until, .. } if now >= until => Some((id, false)),
                 _ => None,
             })
             .collect();
         for (id, is_late) in late {
             if is_late {
-                self.refuse_late(now, id);
+                self.refuse_expired(now, id);
             } else {
-                self.enqueue_free(now, id);
+                self.enqueue(now, id);
             }
         }
     }
 
-    pub(super) fn refuse_late(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn refuse_expired(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let message = match request.stage {
-            Stage::Tokens => {
-                "no tokens could be had before the deadline; allow more time or come back later"
+            Stage::AwaitingTokens => {
+                "no tokens became available before the deadline; allow more time or retry later"
             }
             _ => {
-                "no backend server was free before the deadline; allow more time or come back later"
+                "no backend server became free before the deadline; allow more time or retry later"
             }
         };
         let refusal = Refusal::not_run(RefusalKind::DeadlineExceeded, message);
-        self.refuse(now, id, refusal.with_retry_after(BUSY_RETRY));
+        self.refuse(now, id, refusal.with_retry_after(BUSY_RETRY_DELAY));
     }
 
-    pub(super) fn refuse_over_rate(&mut self, now: Instant, id: RequestId, wait: Duration) {
+    pub(super) fn refuse_rate_limited(&mut self, now: Instant, id: RequestId, wait: Duration) {
         let message = format!(
-            "your organisation is over its rate; the tokens are there in about {} ms",
+            "your organisation exceeded its rate limit; enough tokens are available in about {} ms",
             wait.as_millis()
         );
         let refusal = Refusal::not_run(RefusalKind::OverRate, message).with_retry_after(wait);
@@ -135,7 +135,7 @@
                 refusal.kind.code(),
                 refusal.ending.as_str()
             ));
-        self.event(now, event);
+        self.emit(now, event);
         let used = match refusal.ending {
             Ending::NotRun => 0,
             Ending::FailedAfterRun | Ending::OutcomeUnknown => u64::MAX,
@@ -147,7 +147,7 @@
         self.actions.push(Action::Refuse { request, refusal });
     }
 
-    // Takes a request out of wherever it waits. `used` tokens of its reservation stay spent.
+    // Removes a request from whatever it waits for. Of its reservation, `used` tokens stay spent.
     pub(super) fn drop_request(
         &mut self,
         now: Instant,
@@ -159,23 +159,23 @@
             return;
         };
         match &request.stage {
-            Stage::Tokens => self.tokens.forget(&request.submission.org, id),
+            Stage::AwaitingTokens => self.tokens.cancel(&request.submission.org, id),
             Stage::Queued => {
                 self.queue.remove(id, request.submission.deadline);
             }
             Stage::Claiming { server } => {
-                self.claims.give_up(&request.attempt);
+                self.claim_client.cancel(&request.attempt);
                 self.router.release(server);
             }
-            Stage::Running { .. } | Stage::Cooling { .. } => {}
+            Stage::Running { .. } | Stage::CheckingCrash { .. } => {}
         }
         if let (true, Some(ending)) = (request.claimed, ending) {
-            self.tell_outcome(now, id, &Outcome::Ended(ending));
+            self.report_outcome(now, id, &Outcome::Ended(ending));
         }
-        self.forget_request(id, used);
+        self.remove_request(id, used);
     }
 
-    pub(super) fn forget_request(&mut self, id: RequestId, used: u64) {
+    pub(super) fn remove_request(&mut self, id: RequestId, used: u64) {
         let Some(request) = self.requests.remove(id) else {
             return;
         };
--- a/crates/apricotwell_node/src/node/claiming.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -1,4 +1,4 @@
-//! Requests that must claim their idempotency key.
+//! Claims on idempotency keys, and the requests that need one before they run.
 
 use std::time::Instant;
 
@@ -7,13 +7,13 @@
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
 
 use super::Node;
-use super::serving::BUSY_RETRY;
+use super::serving::BUSY_RETRY_DELAY;
 use crate::Action;
-use crate::claim_desk::ClaimResult;
+use crate::claim_client::ClaimResult;
 use crate::requests::Stage;
 
 impl Node {
-    pub(super) fn ask_claim(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn request_claim(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -23,11 +23,12 @@
         let Some(shard) = self.claim_shard(&key.0) else {
             return;
         };
-        let give_up = now + self.settings.claim_wait;
-        let give_up = give_up.min(request.submission.deadline);
+        let deadline = now + self.settings.claim_wait;
+        let deadline = deadline.min(request.submission.deadline);
         let (body, attempt) = (request.submission.body_digest, request.attempt.clone());
-        self.claims.ask(id, shard, key, body, &attempt, give_up);
-        self.run_claims(now);
+        self.claim_client
+            .request(id, shard, key, body, &attempt, deadline);
+        self.drive_claims(now);
     }
 
     pub(super) fn on_claim_result(&mut self, now: Instant, id: RequestId, result: ClaimResult) {
@@ -42,7 +43,7 @@
                 request.claimed = true;
                 let name = self.request_name(id);
                 let event = Event::new(EventKind::ClaimGranted).with_request(name);
-                self.event(now, event);
+                self.emit(now, event);
                 self.dispatch_claimed(now, id, server);
                 return;
             }
@@ -50,48 +51,49 @@
                 self.router.release(&server);
                 let name = self.request_name(id);
                 let event = Event::new(EventKind::AnswerReplayed).with_request(name);
-                self.event(now, event);
-                self.forget_request(id, 0);
+                self.emit(now, event);
+                self.remove_request(id, 0);
                 let request = id;
                 self.actions.push(Action::Replay { request, answer });
                 return;
             }
             ClaimResult::Held => Refusal::not_run(
                 RefusalKind::KeyInUse,
-                "a request with this Idempotency-Key is under way; repeat it later for its outcome",
+                "a request with this Idempotency-Key is still in progress; retry later to get its \
+                 outcome",
             )
             .with_ending(Ending::OutcomeUnknown)
-            .with_retry_after(BUSY_RETRY),
+            .with_retry_after(BUSY_RETRY_DELAY),
             ClaimResult::Ended(ending) => Refusal::not_run(
                 RefusalKind::BackendFailed,
-                "a request with this Idempotency-Key ended without an answer and is not run again",
+                "a request with this Idempotency-Key ended without an answer and will not run again",
             )
             .with_ending(ending),
             ClaimResult::OtherBody => Refusal::not_run(
                 RefusalKind::KeyReused,
-                "this Idempotency-Key came before with another body; use a new key",
+                "this Idempotency-Key was already used with a different body; use a new key",
             ),
             ClaimResult::Unavailable => {
                 let attempt = request.attempt.clone();
-                self.claims.give_up(&attempt);
+                self.claim_client.cancel(&attempt);
                 Refusal::not_run(
                     RefusalKind::ClaimUnavailable,
-                    "the request could not be claimed, so it was not run; repeat it with the same \
-                     Idempotency-Key",
+                    "the Idempotency-Key could not be claimed, so the request was not run; retry \
+                     with the same key",
                 )
-                .with_retry_after(BUSY_RETRY)
+                .with_retry_after(BUSY_RETRY_DELAY)
             }
         };
         self.router.release(&server);
         self.refuse(now, id, refusal);
     }
 
-    // The server was chosen before the claim; it may have left since.
+    // The server was chosen before the claim was granted, so it may be gone by now.
     pub(super) fn dispatch_claimed(&mut self, now: Instant, id: RequestId, server: ServerId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        if let Some(refusal) = self.check_again(&request.submission) {
+        if let Some(refusal) = self.recheck(&request.submission) {
             self.router.release(&server);
             self.refuse(now, id, refusal);
             return;
@@ -105,12 +107,12 @@
             Some((_, replica)) => self.dispatch(now, id, server, *replica),
             None => {
                 self.router.release(&server);
-                self.enqueue_free(now, id);
+                self.enqueue(now, id);
             }
         }
     }
 
-    pub(super) fn tell_outcome(&mut self, now: Instant, id: RequestId, outcome: &Outcome) {
+    pub(super) fn report_outcome(&mut self, now: Instant, id: RequestId, outcome: &Outcome) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -119,8 +121,9 @@
         };
         let attempt = request.attempt.clone();
         if let Some(shard) = self.claim_shard(&key.0) {
-            self.claims.finish(shard, key, &attempt, outcome);
-            self.run_claims(now);
+            self.claim_client
+                .report_outcome(shard, key, &attempt, outcome);
+            self.drive_claims(now);
         }
     }
 }
