--- a/crates/apricotwell_dispatch/src/backends.rs
+++ b/crates/apricotwell_dispatch/src/backends.rs
@@ -37,7 +37,8 @@
     pub draining: bool,
     /// Time until the server shuts down, if its shutdown was announced.
     pub remaining: Option<Duration>,
-    /// Start time of the server's process, in milliseconds since the Unix epoch; identifies the process.
+    /// Start time of the server's process, in milliseconds since the Unix epoch. A later one means
+    /// that the server was restarted.
     pub started_ms: u64,
     /// Models that the server holds.
     pub inventory: Inventory,
@@ -57,8 +58,8 @@
 pub struct Backend {
     /// Latest list entry.
     pub entry: BackendEntry,
-    /// Models that the server holds, according to the lease holder's inventory if there is a recent one,
-    /// otherwise to the list entry.
+    /// Models that the server holds, by the lease holder's inventory if there is a recent one,
+    /// otherwise by the list entry.
     pub inventory: Inventory,
     /// Model load in progress.
     pub loading: Option<Loading>,
@@ -127,7 +128,7 @@
         self.failure_rate * 0.5f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
-    /// Returns whether the server can run a request for the requested model now; any server can if none
+    /// Returns whether the server can run a request for the model now; any server can if no model
     /// is requested.
     pub fn serves(&self, now: Instant, requested: Option<&RequestedModel>) -> bool {
         let Some(requested) = requested else {
@@ -202,7 +203,8 @@
             .is_none_or(|server| server.expires_at.is_some() || server.entry != *entry)
     }
 
-    /// Marks a server as removed from the list; it is still used for the time `keep`, if there is one.
+    /// Marks a server as removed from the list; it is still used for the time `keep`, if there is
+    /// one.
     pub fn mark_removed(&mut self, now: Instant, id: &str, keep: Option<Duration>) {
         if let Some(server) = self.servers.get_mut(id) {
             server.expires_at = Some(now + keep.unwrap_or_default());
--- a/crates/apricotwell_dispatch/src/catalog.rs
+++ b/crates/apricotwell_dispatch/src/catalog.rs
@@ -20,8 +20,8 @@
     NonIdempotent,
     /// The response is a stream of events; a request runs at most once.
     Stream,
-    /// The response is a stream of events; a request may run again from the last event that the client
-    /// received.
+    /// The response is a stream of events; a request may run again from the last event that the
+    /// client received.
     ResumableStream,
 }
 
--- a/crates/apricotwell_dispatch/src/dispatcher.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher.rs
@@ -25,7 +25,7 @@
 use crate::request::RequestHead;
 use crate::retries::{RetryBounds, RetryBudget};
 
-/// Retry delay sent to clients when there is no estimate of when a server becomes available.
+/// Retry delay sent to clients if it can't be estimated when a server becomes available.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Number of distinct quota phases; each instance gets one by the hash of its id.
@@ -105,7 +105,7 @@
     pub peers: PeerTable,
     /// Demand for models at this instance.
     pub demand: DemandTable,
-    /// Lease that permits this instance to order servers.
+    /// Lease that permits this instance to send orders to servers.
     pub lease: Lease,
     /// Planner of which models the servers hold.
     pub planner: PlacementPlanner,
@@ -302,8 +302,8 @@
         }
     }
 
-    /// Returns whether the request's organisation is so close to its limit that other instances need
-    /// its spending at once.
+    /// Returns whether the request's organisation is so close to its limit that other instances
+    /// need its spending at once.
     pub fn is_near_limit(&mut self, now: Instant, admission: &Admission) -> bool {
         admission
             .organisation
@@ -340,7 +340,7 @@
             .or_insert_with(|| RetryBudget::new(bounds))
     }
 
-    /// Removes instances and servers that timed out.
+    /// Removes instances and servers that timed out, and outdated inventories.
     pub fn expire(&mut self, now: Instant) {
         for instance in self.peers.expire(now) {
             self.backends.remove_instance(&instance);
--- a/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
@@ -53,8 +53,7 @@
         self.quotas.mark_reported(now);
     }
 
-    /// Applies another instance's heartbeat; returns `false` if it is outdated or this
-    /// instance's own.
+    /// Applies another instance's heartbeat; returns `false` for an outdated or own one.
     pub fn apply_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
         if heartbeat.instance == *self.config.id || !self.peers.apply_heartbeat(now, heartbeat) {
             return false;
@@ -80,11 +79,11 @@
         }
     }
 
-    /// Returns the instances to which the lease holder sends server inventories, and for each whether
-    /// it must relay them to its zone.
+    /// Returns the instances to which the lease holder sends server inventories, and for each
+    /// whether it must relay them to its zone.
     ///
-    /// These are all instances of this zone and one relay in each other zone; `turn`, which counts the
-    /// updates, selects a different relay each time.
+    /// These are all instances of this zone and one relay in each other zone; `turn`, which counts
+    /// the updates, selects a different relay each time.
     pub fn inventory_recipients(&self, now: Instant, turn: usize) -> Vec<(InstanceId, bool)> {
         let mut recipients = Vec::new();
         for (zone, instances) in self.peers.alive_by_zone(now) {
--- a/crates/apricotwell_dispatch/src/dispatcher/selection.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/selection.rs
@@ -1,8 +1,8 @@
 //! Selection of the server for a request.
 //!
-//! Servers that can run the request are ranked by the delay that it is expected to meet there. If all
-//! of them are full, or none holds the model yet, the request waits as long as an answer in time is
-//! possible, and is refused otherwise.
+//! The request goes to the server with the least expected delay among those that can run it. If all
+//! of them are full, or a model must be loaded first, it waits as long as a response in time is
+//! still possible, and is refused otherwise.
 
 use std::time::{Duration, Instant};
 
@@ -20,18 +20,18 @@
 const CROSS_ZONE_PENALTY_MS: f64 = 20.0;
 /// Delay penalty for a server whose recent requests all failed, in ms.
 const FAILURE_PENALTY_MS: f64 = 3000.0;
-/// Delay that each request in flight on a model engine adds to the next one, in ms.
+/// Delay in ms that each request in flight on a model engine adds to the next.
 const ENGINE_REQUEST_MS: f64 = 0.6;
-/// Delay that each request in flight on a server without a model engine adds to the next one, in ms.
+/// Delay in ms that each request in flight on a server without a model engine adds to the next.
 const PLAIN_REQUEST_MS: f64 = 8.0;
 /// Prefill speed of an engine, in prompt tokens per ms; its streams pause during a prefill.
 const PREFILL_TOKENS_PER_MS: f64 = 20.0;
 /// Largest jitter per pair of instance and server, in ms, so that instances rank otherwise equal
 /// servers differently.
 const JITTER_MS: f64 = 6.0;
-/// Most requests in flight on a server without a model engine, as a multiple of its slots.
+/// Maximum requests in flight on a server without a model engine, as a multiple of its slots.
 const PLAIN_MAX_LOAD: f64 = 3.0;
-/// Most requests in flight on a model engine, as a multiple of its slots.
+/// Maximum requests in flight on a model engine, as a multiple of its slots.
 const ENGINE_MAX_LOAD: f64 = 1.0;
 /// Time that a model load takes besides the load itself: sending the order, unloading other models
 /// and reporting the result.
@@ -107,9 +107,10 @@
             .map(|(_, server)| server)
     }
 
-    // Returns the delay in ms that a request is expected to meet at a server. Only the load that this
-    // instance sent itself is known without lag, so it weighs most: if each instance spreads its own
-    // requests evenly, the total is even too, and instances don't all follow the same outdated view.
+    // Returns the delay in ms that a request is expected to meet at a server. Only the load that
+    // this instance sent itself is known without lag, so it weighs most: if each instance spreads
+    // its own requests evenly, the total is even too, and instances don't all follow the same
+    // outdated view.
     fn expected_delay(
         &self,
         now: Instant,
@@ -132,7 +133,7 @@
         delay + ENGINE_REQUEST_MS * in_flight + tokens / PREFILL_TOKENS_PER_MS
     }
 
-    // Decides for a model that no server holds: the request waits if the model can be loaded in time.
+    // Decides for a model that no server holds: the request waits if a load can end in time.
     fn await_load(
         &self,
         now: Instant,
--- a/crates/apricotwell_dispatch/src/feeds.rs
+++ b/crates/apricotwell_dispatch/src/feeds.rs
@@ -1,10 +1,10 @@
 //! Sharing of the store's feeds between the instances of a zone.
 //!
-//! In each zone only one instance reads the store: the ready one with the lowest id. The others query
-//! it for the changes after the offset up to which they have read a feed. The answer contains these
-//! changes and the age of the reader's view; added to the time since the query was sent, this bounds
-//! the age of the querying instance's view, however late the answer arrives. An instance that gets no
-//! answer, or one with an old view, reads the store itself.
+//! In each zone only one instance reads the store: the ready one with the lowest id. The others
+//! query it for the changes after the offset up to which they have read a feed. The answer contains
+//! these changes and the age of the reader's view; added to the time since the query was sent, this
+//! bounds the age of the querying instance's view, however late the answer arrives. An instance
+//! that gets no answer, or one with an old view, reads the store itself.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/apricotwell_dispatch/src/freshness.rs
+++ b/crates/apricotwell_dispatch/src/freshness.rs
@@ -1,14 +1,14 @@
 //! Limits on the age of the configuration.
 //!
-//! A revoked key must stop working everywhere within a bound, even on an instance that can't reach the
-//! store. The age of the configuration is measured from the start of the last read that reached the
-//! end of the log, so every decision can check how outdated its view may be.
+//! A revoked key must stop working everywhere within a bound, even on an instance that can't reach
+//! the store. The age of the configuration is measured from the start of the last read that reached
+//! the end of the log, so every decision can check how outdated its view may be.
 
 use std::time::{Duration, Instant};
 
 /// Share of the revocation bound up to which keys are accepted without a new read.
 const USABLE_SHARE: f64 = 0.8;
-/// Half the age from which on a missing route or key may just have been added.
+/// Half of the age from which on a missing route or key may just have been added.
 const CURRENT_AGE: Duration = Duration::from_millis(1500);
 /// Share of the revocation bound from which on clients are directed to other instances.
 const READY_SHARE: f64 = 0.6;
--- a/crates/apricotwell_dispatch/src/inventory_updates.rs
+++ b/crates/apricotwell_dispatch/src/inventory_updates.rs
@@ -24,8 +24,8 @@
     transmissions_left: u32,
 }
 
-/// Selects the inventories to broadcast, so that the size of a batch doesn't grow with the number of
-/// servers.
+/// Selects the inventories to broadcast, so that the size of a batch doesn't grow with the number
+/// of servers.
 #[derive(Debug, Default)]
 pub struct InventoryUpdates {
     sent: BTreeMap<ServerId, SentInventory>,
@@ -47,7 +47,8 @@
         })
     }
 
-    /// Returns the inventories to send next; `list` is the server list, which other instances also have.
+    /// Returns the inventories to send next; `list` is the server list, which other instances also
+    /// have.
     pub fn take_batch(
         &mut self,
         now: Instant,
--- a/crates/apricotwell_dispatch/src/lease.rs
+++ b/crates/apricotwell_dispatch/src/lease.rs
@@ -1,9 +1,9 @@
-//! The placement lease, which permits one instance at a time to order backend servers.
+//! The placement lease, which permits one instance at a time to send orders to backend servers.
 //!
-//! The member that appended the last claim to the store's log holds the lease for as long as it stays
-//! in the store's consumer group; the claim's offset is the fencing token. Once the group has removed
-//! the holder, the member that is assigned a certain partition may claim the lease. A holder that the
-//! group may have removed without its knowledge checks the log before it continues.
+//! The member that appended the last claim to the store's log holds the lease for as long as it
+//! stays in the store's consumer group; the claim's offset is the fencing token. Once the group has
+//! removed the holder, the member that is assigned a certain partition may claim the lease. A
+//! holder that the group may have removed without its knowledge checks the log before it continues.
 
 use std::time::{Duration, Instant};
 
@@ -61,10 +61,10 @@
 ///
 /// # Invariants
 ///
-/// If servers don't check fencing tokens, [`Lease::fence`] returns one on at most one instance at any
-/// time: only within the term of the last renewal, and only after the handover pause that follows the
-/// removal of the previous holder. If they do, another instance may get a higher token at the same
-/// time, which takes precedence at each server.
+/// If servers don't check fencing tokens, [`Lease::fence`] returns one on at most one instance at
+/// any time: only within the term of the last renewal, and only after the handover pause that
+/// follows the removal of the previous holder. If they do, another instance may get a higher token
+/// at the same time, which takes precedence at each server.
 #[derive(Debug)]
 pub struct Lease {
     config: LeaseConfig,
@@ -139,14 +139,14 @@
         }
     }
 
-    /// Applies this instance's claim; `fence` is its offset in the log, `status` the status before it.
+    /// Applies this instance's claim; `fence` is its offset, and `status` the status before it.
     pub fn apply_claim(&mut self, now: Instant, fence: Fence, status: ClaimStatus) {
         let delay = match status {
             // The processes of one machine count as one holder.
             ClaimStatus::Unclaimed | ClaimStatus::Own => Duration::ZERO,
             ClaimStatus::Taken => self.config.handover_pause,
-            // The group removes a holder one term after its last renewal, and its last order came at
-            // most one renewal gap after that. If it still runs without access to the store, the
+            // The group removes a holder one term after its last renewal, and its last order came
+            // at most one renewal gap after that. If it still runs without access to the store, the
             // higher fencing token stops it.
             ClaimStatus::Dropped if self.config.fenced => (self.config.handover_pause
                 + self.config.max_renewal_gap)
@@ -183,8 +183,8 @@
 
     /// Returns the fencing token to announce to other instances.
     ///
-    /// The announcement precedes the first order by long enough that a previous holder that still runs
-    /// has stopped by then, and that its last orders appear in server reports.
+    /// The announcement precedes the first order by long enough that a previous holder that still
+    /// runs has stopped by then, and that its last orders appear in server reports.
     pub fn announced_fence(&self, now: Instant) -> Option<Fence> {
         let claim = self.claim?;
         (claim.effective_at <= now + ANNOUNCEMENT_LEAD && !self.has_expired(now))
--- a/crates/apricotwell_dispatch/src/peers.rs
+++ b/crates/apricotwell_dispatch/src/peers.rs
@@ -21,8 +21,8 @@
     MIN_HEARTBEAT_INTERVAL.max(INTERVAL_PER_INSTANCE * instances)
 }
 
-/// Tenths of the heartbeat interval without a heartbeat after which an instance's spending counts as
-/// unreported.
+/// Tenths of the heartbeat interval without a heartbeat after which an instance's spending counts
+/// as unreported.
 const REPORTING_TENTHS: u32 = 24;
 /// Time for which an instance that became unreachable may still be serving requests.
 const PEER_LIFETIME: Duration = Duration::from_secs(5);
@@ -38,7 +38,7 @@
     address: String,
     ready: bool,
     zone: ZoneId,
-    // Fencing token with which it orders servers, 0 if it doesn't.
+    // Fencing token of its orders to servers, 0 if it sends none.
     fence: Fence,
     last_heartbeat: Instant,
     models: Vec<ModelUse>,
@@ -57,8 +57,8 @@
     pub fn apply_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
         let order = (heartbeat.incarnation, heartbeat.number);
         let known = self.peers.get(heartbeat.instance.as_str());
-        // After a time without heartbeats, the instance may have restarted with a clock that was set
-        // back, so that its incarnation is lower.
+        // After a time without heartbeats, the instance may have restarted with a clock that was
+        // set back, so that its incarnation is lower.
         let is_outdated = |peer: &Peer| {
             (peer.incarnation, peer.number) >= order
                 && now.saturating_duration_since(peer.last_heartbeat) < RESTART_SILENCE
@@ -80,7 +80,7 @@
         true
     }
 
-    /// Applies the store's list of members.
+    /// Applies the store's list of the group's members.
     pub fn apply_members<I>(&mut self, now: Instant, members: I)
     where
         I: IntoIterator<Item = InstanceId>,
@@ -89,8 +89,8 @@
             .extend(members.into_iter().map(|member| (member, now)));
     }
 
-    /// Extends the lifetime of the members that were last listed, after a renewal without a change of
-    /// the group.
+    /// Extends the lifetime of the members that were last listed, after a renewal without a change
+    /// of the group.
     pub fn refresh_members(&mut self, now: Instant) {
         let last_list = self.members.values().max().copied();
         for listed in self.members.values_mut() {
@@ -114,7 +114,8 @@
         expired
     }
 
-    /// Returns the instances to send heartbeats to: the group's members and the senders of heartbeats.
+    /// Returns the instances to send heartbeats to: the group's members and the senders of
+    /// heartbeats.
     pub fn heartbeat_targets(&self) -> Vec<InstanceId> {
         let mut targets: Vec<InstanceId> = self
             .members
--- a/crates/apricotwell_dispatch/tests/lease.rs
+++ b/crates/apricotwell_dispatch/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The placement lease: which instance may send orders, and from when on.
+//! The placement lease: which instance may send orders, and when.
 
 use std::time::{Duration, Instant};
 
@@ -65,8 +65,8 @@
     let now = Instant::now();
     for (config, status, min_delay) in [
         (UNFENCED, ClaimStatus::Dropped, FENCED.handover_pause),
-        // The group removes a member after the term; its last order came at most one renewal gap after
-        // its last renewal.
+        // The group removes a member after the term; its last order came at most one renewal gap
+        // after its last renewal.
         (
             FENCED,
             ClaimStatus::Dropped,
