--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -25,7 +25,7 @@
 /// One attempt to run a request on a server.
 #[derive(Clone, Debug)]
 pub struct Attempt<'a> {
-    /// Server.
+    /// Server that the attempt is sent to.
     pub server: &'a ServerId,
     /// Time until the request's deadline.
     pub remaining: Duration,
--- a/crates/apricotwell_gateway/src/daemon.rs
+++ b/crates/apricotwell_gateway/src/daemon.rs
@@ -111,7 +111,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 if let Err(error) = pool::configure_socket(&stream) {
-                    log::debug!("socket options not set: {error}");
+                    log::debug!("failed to set socket options: {error}");
                 }
                 actix::spawn(serve(Rc::clone(&gateway), stream));
             }
--- a/crates/apricotwell_gateway/src/guard.rs
+++ b/crates/apricotwell_gateway/src/guard.rs
@@ -47,7 +47,7 @@
     P: Platform,
 {
     gateway: Rc<Gateway<P>>,
-    /// Server.
+    /// Server that runs the request.
     pub server: ServerId,
 }
 
--- a/crates/apricotwell_gateway/src/usage.rs
+++ b/crates/apricotwell_gateway/src/usage.rs
@@ -51,7 +51,7 @@
         };
         gateway.metrics.count_store_call("keep");
         if let Err(error) = gateway.store.save_usage(&usage.encode_to_vec()).await {
-            log::info!("usage not saved: {error}");
+            log::info!("failed to save the quota usage: {error}");
         }
     }
 }
@@ -77,7 +77,7 @@
             Ok(Some(Err(error))) => error.to_string(),
             Err(error) => error.to_string(),
         };
-        log::info!("usage not restored: {error}");
+        log::info!("failed to restore the quota usage: {error}");
         tokio::time::sleep(RESTORE_RETRY_DELAY).await;
     }
 }
