--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Tasks that follow the store's feeds, themselves or through another instance.
+//! Tasks that follow the store's feeds, read from the store or through another instance.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,28 +12,29 @@
 use crate::events::Event;
 use crate::gateway::Gateway;
 
-/// Longest wait of one read of the configuration; bounds the age of the view on a quiet day.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(1500);
-/// Share of the time within which a leaving server must get no more work, that passes between two
-/// reads of the list of servers.
-const SERVERS_SHARE: f64 = 0.3;
-/// Pause between two questions to another instance.
-const ASK_PAUSE: Duration = Duration::from_millis(500);
-/// Age beyond which another instance's view of the configuration is not used.
+/// Maximum wait of one long poll of the configuration; bounds the age of the view while nothing
+/// changes.
+const CONFIGURATION_READ_WAIT: Duration = Duration::from_millis(1500);
+/// Interval between two reads of the server list, as a fraction of `Timings::drain`.
+const SERVERS_READ_FRACTION: f64 = 0.3;
+/// Interval between two queries to another instance.
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum age of another instance's view of the configuration; an older one is followed by a read
+/// of the store.
 const MAX_CONFIGURATION_AGE: Duration = Duration::from_millis(2200);
-/// Share of the time within which a leaving server must get no more work, beyond which another
-/// instance's view of the list is not used.
-const MAX_SERVERS_SHARE: f64 = 0.6;
-/// Pause after a second call that the store did not serve; each further one adds as much. After the
-/// first there is none: most often only its connection was broken.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Calls after which the pause grows no more.
-const MAX_PAUSES: u32 = 4;
-/// Time after an outage of the store in which servers that left the list are still used: the entries
-/// of those that live come back by then.
-const RETURN_TIME: Duration = Duration::from_millis(2200);
+/// Maximum age of another instance's view of the server list, as a fraction of `Timings::drain`; an
+/// older one is followed by a read of the store.
+const MAX_SERVERS_AGE_FRACTION: f64 = 0.6;
+/// Step of the linear retry backoff, from the second consecutive failure on. The first retry is
+/// immediate, since most often only the connection was broken.
+const RETRY_DELAY_STEP: Duration = Duration::from_millis(400);
+/// Consecutive failures after which the backoff stops growing.
+const MAX_RETRY_STEPS: u32 = 4;
+/// Time after a store outage during which servers removed from the list are still used. By its end,
+/// the entries of running servers are back in the list.
+const REJOIN_TIME: Duration = Duration::from_millis(2200);
 
-/// Follows one feed for ever.
+/// Follows one feed; never returns.
 pub async fn follow<P>(gateway: Rc<Gateway<P>>, socket: Rc<UdpSocket>, feed: Feed)
 where
     P: Platform,
@@ -61,12 +62,12 @@
     gateway: Rc<Gateway<P>>,
     socket: Rc<UdpSocket>,
     feed: Feed,
-    // Offset from which to read; unknown before the newest records were read.
+    // Offset from which to read; `None` until the newest records have been read.
     next: Option<Offset>,
-    // Where the last step looked.
+    // Source of the last step.
     source: FeedSource,
     failing_since: Option<Instant>,
-    // Calls in a row that the store did not serve.
+    // Number of consecutive failed store calls.
     failures: u32,
     outage_end: Option<Instant>,
 }
@@ -75,85 +76,89 @@
 where
     P: Platform,
 {
-    // Learns once what is new; returns the pause before the next time.
+    // Fetches new records once; returns the pause before the next step.
     async fn step(&mut self) -> Duration {
         let Some(from) = self.next else {
             return self.read_store(Duration::ZERO).await;
         };
         let now = self.gateway.now();
         let source = self.gateway.dispatcher.borrow().feed_source(now);
-        self.note_source(&source);
+        self.set_source(&source);
         match (source, self.feed) {
-            (FeedSource::Peer(peer), _) => match self.ask(&peer, from).await {
+            (FeedSource::Peer(peer), _) => match self.query_peer(&peer, from).await {
                 Some(pause) => pause,
-                None => self.read_store(Duration::ZERO).await.max(ASK_PAUSE),
+                None => self
+                    .read_store(Duration::ZERO)
+                    .await
+                    .max(PEER_QUERY_INTERVAL),
             },
-            (FeedSource::Store, Feed::Configuration) => self.read_store(CONFIGURATION_WAIT).await,
+            (FeedSource::Store, Feed::Configuration) => {
+                self.read_store(CONFIGURATION_READ_WAIT).await
+            }
             (FeedSource::Store, Feed::Servers) => self.read_store(Duration::ZERO).await,
         }
     }
 
-    // Asks another instance; returns the pause before the next question, `None` if its view is of no
-    // use.
-    async fn ask(&mut self, peer: &InstanceId, from: Offset) -> Option<Duration> {
-        let question = (self.feed, from);
+    // Queries another instance; returns the pause before the next query, or `None` if there was no
+    // usable response or its view is too old.
+    async fn query_peer(&mut self, peer: &InstanceId, from: Offset) -> Option<Duration> {
+        let feed_position = (self.feed, from);
         let clock = || self.gateway.now();
-        let asked = self
+        let response = self
             .gateway
-            .questions
-            .ask(&self.socket, peer, question, clock);
+            .feed_queries
+            .query(&self.socket, peer, feed_position, clock);
         let FeedUpdate {
             changes,
             next,
-            confirmed_at: current,
-        } = asked.await?;
-        let news = changes.into_iter().map(|change| match change {
+            confirmed_at,
+        } = response.await?;
+        let records = changes.into_iter().map(|change| match change {
             ServerListChange::Entry(entry) => FeedRecord::Entry(entry),
             ServerListChange::Removed(id) => FeedRecord::Removed(id),
         });
-        let part = FeedPage {
-            records: news.collect(),
+        let page = FeedPage {
+            records: records.collect(),
             next,
-            is_end: current.is_some(),
+            is_end: confirmed_at.is_some(),
         };
-        self.apply(current, part);
-        let Some(current) = current else {
+        self.apply(confirmed_at, page);
+        let Some(confirmed_at) = confirmed_at else {
             return Some(Duration::ZERO);
         };
-        let age = self.gateway.now().saturating_duration_since(current);
-        (age < self.max_age()).then_some(ASK_PAUSE)
+        let age = self.gateway.now().saturating_duration_since(confirmed_at);
+        (age < self.max_age()).then_some(PEER_QUERY_INTERVAL)
     }
 
     fn max_age(&self) -> Duration {
         match self.feed {
             Feed::Configuration => MAX_CONFIGURATION_AGE,
-            Feed::Servers => self.gateway.times.drain.mul_f64(MAX_SERVERS_SHARE),
+            Feed::Servers => self.gateway.times.drain.mul_f64(MAX_SERVERS_AGE_FRACTION),
         }
     }
 
     // Reads the store once; returns the pause before the next read.
     async fn read_store(&mut self, wait: Duration) -> Duration {
         let start = self.gateway.now();
-        let part = match self.next {
+        let page = match self.next {
             Some(next) => self.gateway.store.read(self.feed, next, wait).await,
             None => self.gateway.store.newest(self.feed).await,
         };
-        match part {
-            Ok(part) => {
-                self.gateway.metrics.note_store_call("read");
-                self.note_success();
-                let pauses = self.feed == Feed::Servers && part.is_end;
-                // A read that waited and brought nothing says that nothing came until its wait was
-                // over.
+        match page {
+            Ok(page) => {
+                self.gateway.metrics.count_store_call("read");
+                self.record_success();
+                let pauses = self.feed == Feed::Servers && page.is_end;
+                // A long poll without records shows that there were none until the end of its wait.
                 let waited = self.gateway.now().saturating_duration_since(start);
-                let current = match self.next {
-                    Some(_) if part.records.is_empty() => start + wait.min(waited),
+                let confirmed_at = match self.next {
+                    Some(_) if page.records.is_empty() => start + wait.min(waited),
                     _ => start,
                 };
-                let current = part.is_end.then_some(current);
-                self.apply(current, part);
+                let confirmed_at = page.is_end.then_some(confirmed_at);
+                self.apply(confirmed_at, page);
                 if pauses {
-                    self.gateway.times.drain.mul_f64(SERVERS_SHARE)
+                    self.gateway.times.drain.mul_f64(SERVERS_READ_FRACTION)
                 } else {
                     Duration::ZERO
                 }
@@ -163,50 +168,51 @@
                 Duration::ZERO
             }
             Err(error) => {
-                self.note_failure(&error);
-                RETRY_PAUSE * (self.failures.min(MAX_PAUSES) - 1)
+                self.record_failure(&error);
+                RETRY_DELAY_STEP * (self.failures.min(MAX_RETRY_STEPS) - 1)
             }
         }
     }
 
-    // Applies what came; nothing else had come at `current`, if that is known.
-    fn apply(&mut self, current: Option<Instant>, part: FeedPage) {
+    // Applies a page of records. If `confirmed_at` is set, the page is complete up to that time.
+    fn apply(&mut self, confirmed_at: Option<Instant>, page: FeedPage) {
         let from = self.next;
         if from.is_none() && self.feed == Feed::Servers {
-            self.remove_missing(&part);
+            self.remove_missing(&page);
             self.gateway
                 .dispatcher
                 .borrow_mut()
                 .feeds
-                .reset_changes(part.next);
+                .reset_changes(page.next);
         }
-        self.next = Some(part.next);
-        let changed = !part.records.is_empty();
-        // Each record of the list is one piece of news, so that their offsets are known.
-        let first = part
+        self.next = Some(page.next);
+        let changed = !page.records.is_empty();
+        // Each record of the server list yields one item, so offsets follow from the end of the
+        // page.
+        let first = page
             .next
-            .saturating_sub(part.records.len() as u64)
+            .saturating_sub(page.records.len() as u64)
             .max(from.unwrap_or_default());
-        for (offset, news) in (first + 1..).zip(part.records) {
-            self.apply_news(offset.min(part.next), news);
+        for (offset, record) in (first + 1..).zip(page.records) {
+            self.apply_record(offset.min(page.next), record);
         }
         if changed {
-            self.gateway.changed.notify_waiters();
-            self.gateway.planning.notify_one();
+            self.gateway.servers_changed.notify_waiters();
+            self.gateway.replan.notify_one();
         }
-        let Some(current) = current else {
+        let Some(confirmed_at) = confirmed_at else {
             return;
         };
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         dispatcher
             .feeds
-            .record_position(self.feed, part.next, current);
+            .record_position(self.feed, page.next, confirmed_at);
         if self.feed == Feed::Configuration {
-            dispatcher.freshness.record_read(current);
+            dispatcher.freshness.record_read(confirmed_at);
         }
     }
 
-    fn note_source(&mut self, source: &FeedSource) {
+    fn set_source(&mut self, source: &FeedSource) {
         if self.source != *source {
             self.source = source.clone();
             Event::new("feed_source")
@@ -216,11 +222,11 @@
         }
     }
 
-    // Applies one piece of news, after which the feed is known up to `offset`.
-    fn apply_news(&self, offset: Offset, news: FeedRecord) {
+    // Applies one record; the feed is then known up to `offset`.
+    fn apply_record(&self, offset: Offset, record: FeedRecord) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        match news {
+        match record {
             FeedRecord::Catalog(catalog) => {
                 let version = catalog.version;
                 let applied = dispatcher.apply_catalog(*catalog);
@@ -238,12 +244,12 @@
                 dispatcher.backends.apply_entry(now, entry);
             }
             FeedRecord::Removed(id) => {
-                let keep = self.keep_time(now);
+                let grace = self.removal_grace(now);
                 Event::new("server_removed")
                     .with("server", &*id)
-                    .with("kept_ms", keep.map(|keep| keep.as_millis() as u64))
+                    .with("kept_ms", grace.map(|grace| grace.as_millis() as u64))
                     .log();
-                dispatcher.backends.mark_removed(now, &id, keep);
+                dispatcher.backends.mark_removed(now, &id, grace);
                 dispatcher.prompts.remove_server(&id);
                 let change = ServerListChange::Removed(id);
                 dispatcher.feeds.record_change(offset, &change);
@@ -255,28 +261,30 @@
         }
     }
 
-    fn remove_missing(&self, part: &FeedPage) {
+    // Removes the known servers that are not on a page of the newest records.
+    fn remove_missing(&self, page: &FeedPage) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
-        let keep = self.keep_time(now);
+        let grace = self.removal_grace(now);
         for id in dispatcher.backends.listed_ids() {
-            let is_listed = part
+            let is_listed = page
                 .records
                 .iter()
-                .any(|news| matches!(news, FeedRecord::Entry(entry) if entry.id == id));
+                .any(|record| matches!(record, FeedRecord::Entry(entry) if entry.id == id));
             if !is_listed {
-                dispatcher.backends.mark_removed(now, &id, keep);
+                dispatcher.backends.mark_removed(now, &id, grace);
             }
         }
     }
 
-    fn keep_time(&self, now: Instant) -> Option<Duration> {
-        let end = self.outage_end? + RETURN_TIME;
+    // Returns how long a removed server is still used; `None` if there was no recent outage.
+    fn removal_grace(&self, now: Instant) -> Option<Duration> {
+        let end = self.outage_end? + REJOIN_TIME;
         (now < end).then(|| end.saturating_duration_since(now))
     }
 
-    fn note_failure(&mut self, error: &StoreError) {
-        self.gateway.metrics.note_store_call("failed");
+    fn record_failure(&mut self, error: &StoreError) {
+        self.gateway.metrics.count_store_call("failed");
         self.failures += 1;
         if self.failing_since.is_none() {
             self.failing_since = Some(self.gateway.now());
@@ -287,7 +295,7 @@
         }
     }
 
-    fn note_success(&mut self) {
+    fn record_success(&mut self) {
         self.failures = 0;
         let Some(since) = self.failing_since.take() else {
             return;
