--- a/crates/apricotwell_gateway/src/placing.rs
+++ b/crates/apricotwell_gateway/src/placement.rs
@@ -1,4 +1,4 @@
-//! The task of the lease holder: plans what servers hold and orders it.
+//! Placement task of the lease holder: plans which models servers load, and sends the orders.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,32 +11,33 @@
 use crate::events::Event;
 use crate::gateway::Gateway;
 
-/// Pause between plans when nothing changes.
-const PLAN_PAUSE: Duration = Duration::from_millis(200);
-/// Least pause between plans.
-const LEAST_PAUSE: Duration = Duration::from_millis(25);
+/// Maximum interval between plans, applied when nothing changes.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum interval between plans.
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Plans and orders while this instance holds the lease.
-pub async fn place<P>(gateway: Rc<Gateway<P>>)
+/// Plans and sends orders while this instance holds the lease.
+pub async fn run<P>(gateway: Rc<Gateway<P>>)
 where
     P: Platform,
 {
     let mut announced = None;
     loop {
-        announce(&gateway, &mut announced);
-        step(&gateway);
-        tokio::time::sleep(LEAST_PAUSE).await;
+        announce_fence(&gateway, &mut announced);
+        plan_once(&gateway);
+        tokio::time::sleep(MIN_PLAN_INTERVAL).await;
         let due = gateway.dispatcher.borrow().planner.next_due(gateway.now());
-        let pause = due.map_or(PLAN_PAUSE, |due| due.min(PLAN_PAUSE));
-        // Without a change the plan is looked at again after the pause.
-        let _ = tokio::time::timeout(pause, gateway.planning.notified()).await;
-        // What becomes due may change what servers hold.
-        gateway.restocked.notify_one();
+        let pause = due.map_or(MAX_PLAN_INTERVAL, |due| due.min(MAX_PLAN_INTERVAL));
+        // Plans again after a change, or after the pause if there is none.
+        let _ = tokio::time::timeout(pause, gateway.replan.notified()).await;
+        // Timers of the planner that expired may have changed the inventory.
+        gateway.inventory_changed.notify_one();
     }
 }
 
-// Lets a previous holder of the lease that lives on hear at once that it must stop.
-fn announce<P>(gateway: &Gateway<P>, announced: &mut Option<Fence>)
+// Broadcasts a new fencing token at once, so that a previous lease holder that is still running
+// stops.
+fn announce_fence<P>(gateway: &Gateway<P>, announced: &mut Option<Fence>)
 where
     P: Platform,
 {
@@ -46,33 +47,35 @@
         .lease
         .announced_fence(gateway.now());
     if fence.is_some() && fence != *announced {
-        gateway.gossip.notify_one();
+        gateway.heartbeat_due.notify_one();
     }
     *announced = fence;
 }
 
-fn step<P>(gateway: &Rc<Gateway<P>>)
+fn plan_once<P>(gateway: &Rc<Gateway<P>>)
 where
     P: Platform,
 {
     let now = gateway.now();
     let mut dispatcher = gateway.dispatcher.borrow_mut();
     let Some(fence) = dispatcher.lease.fence(now) else {
-        // What servers hold is asked anew when the lease opens: until then another orders them.
+        // Another instance may be sending orders, so the known inventory is discarded. Servers
+        // report it again once this instance holds the lease.
         dispatcher.planner.reset();
         return;
     };
     let (orders, reports) = dispatcher.plan(now);
     drop(dispatcher);
     for server in reports {
-        actix::spawn(report(Rc::clone(gateway), server));
+        actix::spawn(fetch_report(Rc::clone(gateway), server));
     }
     for order in orders {
-        actix::spawn(give(Rc::clone(gateway), order, fence));
+        actix::spawn(send_order(Rc::clone(gateway), order, fence));
     }
 }
 
-async fn report<P>(gateway: Rc<Gateway<P>>, server: ServerId)
+// Fetches a server's report and applies it to the planner.
+async fn fetch_report<P>(gateway: Rc<Gateway<P>>, server: ServerId)
 where
     P: Platform,
 {
@@ -93,21 +96,22 @@
         .borrow_mut()
         .planner
         .apply_report(now, &server, report);
-    gateway.planning.notify_one();
-    gateway.restocked.notify_one();
+    gateway.replan.notify_one();
+    gateway.inventory_changed.notify_one();
 }
 
-async fn give<P>(gateway: Rc<Gateway<P>>, order: Order, fence: Fence)
+// Sends an order, unless the lease was lost since it was planned, and applies the reply.
+async fn send_order<P>(gateway: Rc<Gateway<P>>, order: Order, fence: Fence)
 where
     P: Platform,
 {
     let target = {
         let dispatcher = gateway.dispatcher.borrow();
         let now = gateway.now();
-        let valid = dispatcher.lease.fence(now) == Some(fence);
+        let is_current = dispatcher.lease.fence(now) == Some(fence);
         let backend = dispatcher.backends.get(&order.server);
         backend
-            .filter(|_| valid)
+            .filter(|_| is_current)
             .map(|server| (server.entry.address, dispatcher.config.id.clone()))
     };
     let reply = match target {
@@ -126,7 +130,7 @@
         .with("reason", order.reason)
         .with("reply", format!("{reply:?}"))
         .log();
-    gateway.metrics.note_order(order.operation.name());
+    gateway.metrics.count_order(order.operation.name());
     {
         let mut dispatcher = gateway.dispatcher.borrow_mut();
         if reply == OrderReply::Fenced {
@@ -134,6 +138,6 @@
         }
         dispatcher.planner.apply_reply(now, &order.server, reply);
     }
-    gateway.planning.notify_one();
-    gateway.restocked.notify_one();
+    gateway.replan.notify_one();
+    gateway.inventory_changed.notify_one();
 }
--- /dev/null
+++ b/crates/apricotwell_gateway/src/requests.rs
@@ -0,0 +1,341 @@
+//! Client requests: admission, and responses to the client.
+
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+
+use apricotwell_dispatch::prelude::*;
+use apricotwell_types::{Refusal, RefusalKind};
+use bytes::Bytes;
+use futures_util::Stream;
+use http::{Request, Response, request};
+use http_body_util::{BodyExt, Either, Full, StreamBody};
+use hyper::body::{Frame, Incoming};
+
+use crate::adapter::{ClientProtocol, Platform};
+use crate::budget::{Budget, Reservation};
+use crate::events::Event;
+use crate::gateway::Gateway;
+use crate::guard::FlightGuard;
+use crate::handler::RequestHandler;
+use crate::pool::StreamingResponse;
+use crate::relay::{Relay, RelayError};
+
+/// Size limit of a non-streaming response, which is buffered in memory.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// Time limit for receiving a request body, unless the client's timeout is shorter.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time after a request to stop during which requests are still admitted. A request admitted later
+/// might not finish within the grace period.
+const ADMISSION_AFTER_STOP: Duration = Duration::from_millis(3500);
+
+/// Response to a client: buffered or streamed.
+enum ClientResponse<P>
+where
+    P: Platform,
+{
+    Complete(Response<Bytes>),
+    Stream(Response<()>, Box<Relay<P>>),
+}
+
+/// Serves one client request.
+///
+/// # Errors
+///
+/// Never fails: failures become responses. The body of a streamed response can still fail, which
+/// closes the connection.
+pub async fn serve<P>(
+    gateway: Rc<Gateway<P>>,
+    request: Request<Incoming>,
+) -> Result<
+    Response<Either<Full<Bytes>, StreamBody<impl Stream<Item = Result<Frame<Bytes>, RelayError>>>>>,
+    Infallible,
+>
+where
+    P: Platform,
+{
+    let was_stopping = gateway.stop_requested.get().is_some();
+    let mut response = match respond(&gateway, request).await {
+        ClientResponse::Complete(response) => response.map(|body| Either::Left(Full::new(body))),
+        ClientResponse::Stream(response, relay) => {
+            response.map(|()| Either::Right(StreamBody::new(relay.into_frames())))
+        }
+    };
+    if was_stopping || gateway.stop_requested.get().is_some() {
+        let close = http::HeaderValue::from_static("close");
+        response
+            .headers_mut()
+            .insert(http::header::CONNECTION, close);
+    }
+    Ok(response)
+}
+
+async fn respond<P>(gateway: &Rc<Gateway<P>>, request: Request<Incoming>) -> ClientResponse<P>
+where
+    P: Platform,
+{
+    let (head, body) = request.into_parts();
+    match admit_request(gateway, head, body).await {
+        Ok(handler) => run_attempts(handler).await,
+        Err(refusal) => ClientResponse::Complete(P::ClientProtocol::encode_refusal(&refusal)),
+    }
+}
+
+// Decodes and admits a request.
+async fn admit_request<P>(
+    gateway: &Rc<Gateway<P>>,
+    head: request::Parts,
+    body: Incoming,
+) -> Result<RequestHandler<P>, Refusal>
+where
+    P: Platform,
+{
+    let request = P::ClientProtocol::decode_request(&head)?;
+    let admitted = read_and_admit(gateway, &head, body, &request).await;
+    if let Err(refusal) = &admitted {
+        log_refusal(gateway, &request, refusal);
+    }
+    let (body, admission) = admitted?;
+    Ok(RequestHandler::new(gateway, head, body, request, admission))
+}
+
+async fn read_and_admit<P>(
+    gateway: &Rc<Gateway<P>>,
+    head: &request::Parts,
+    body: Incoming,
+    request: &RequestHead,
+) -> Result<(BufferedBody, Admission), Refusal>
+where
+    P: Platform,
+{
+    if gateway
+        .time_since_stop()
+        .is_some_and(|time| time > ADMISSION_AFTER_STOP)
+    {
+        let text = "this instance is shutting down; use another one";
+        return Err(
+            Refusal::not_run(RefusalKind::Unavailable, text).with_retry_after(Duration::ZERO)
+        );
+    }
+    let limit = body_limit(gateway);
+    let body = read_body(head, body, limit, &gateway.body_budget, request.timeout).await?;
+    let now = gateway.now();
+    let mut dispatcher = gateway.dispatcher.borrow_mut();
+    let admission = dispatcher.admit(now, request)?;
+    if dispatcher.is_near_limit(now, &admission) {
+        gateway.heartbeat_due.notify_one();
+    }
+    Ok((body, admission))
+}
+
+fn body_limit<P>(gateway: &Gateway<P>) -> usize
+where
+    P: Platform,
+{
+    let dispatcher = gateway.dispatcher.borrow();
+    let catalog = dispatcher.catalog.as_ref();
+    catalog.map_or(ClientLimits::default().body_bytes, |catalog| {
+        catalog.limits.body_bytes
+    })
+}
+
+/// Request body in memory, with its reservation of the body budget.
+pub struct BufferedBody {
+    /// Content of the body.
+    pub bytes: Bytes,
+    _reservation: Reservation,
+}
+
+async fn read_body(
+    head: &request::Parts,
+    body: Incoming,
+    limit: usize,
+    budget: &Budget,
+    timeout: Option<Duration>,
+) -> Result<BufferedBody, Refusal> {
+    let content_length = head
+        .headers
+        .get(http::header::CONTENT_LENGTH)
+        .and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
+    if content_length.is_some_and(|content_length| content_length > limit) {
+        return Err(too_large());
+    }
+    let time_limit = timeout.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
+    let collected = tokio::time::timeout(time_limit, collect(body, limit, budget)).await;
+    collected.unwrap_or_else(|_| {
+        let text = "the request body was not received in time";
+        Err(Refusal::not_run(RefusalKind::TooSlow, text))
+    })
+}
+
+async fn collect(
+    mut body: Incoming,
+    limit: usize,
+    budget: &Budget,
+) -> Result<BufferedBody, Refusal> {
+    let Some(mut reservation) = budget.try_reserve(0) else {
+        return Err(body_budget_exhausted());
+    };
+    let mut bytes = Vec::new();
+    while let Some(frame) = body.frame().await {
+        let frame = frame.map_err(|error| {
+            let text = format!("the request body is incomplete: {error}");
+            Refusal::not_run(RefusalKind::BadRequest, text)
+        })?;
+        // Trailers are not forwarded.
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
+        if bytes.len() + data.len() > limit {
+            return Err(too_large());
+        }
+        if !reservation.grow(data.len()) {
+            return Err(body_budget_exhausted());
+        }
+        bytes.extend_from_slice(&data);
+    }
+    Ok(BufferedBody {
+        bytes: bytes.into(),
+        _reservation: reservation,
+    })
+}
+
+fn too_large() -> Refusal {
+    Refusal::not_run(RefusalKind::TooLarge, "the request body is over the limit")
+}
+
+fn body_budget_exhausted() -> Refusal {
+    let text = "the request bodies in memory are over the limit; retry later";
+    Refusal::not_run(RefusalKind::Overloaded, text).with_retry_after(Duration::from_millis(500))
+}
+
+async fn run_attempts<P>(mut handler: RequestHandler<P>) -> ClientResponse<P>
+where
+    P: Platform,
+{
+    let last_event = handler.request.last_event;
+    loop {
+        let (server_response, flight) = match handler.first_response(last_event).await {
+            Ok(received) => received,
+            Err(refusal) => return refuse(&handler, &refusal),
+        };
+        if handler.admission.route.kind.is_stream() && server_response.head.status.is_success() {
+            return stream_response(handler, server_response, flight);
+        }
+        match complete_response(&mut handler, server_response, flight).await {
+            Ok(response) => return ClientResponse::Complete(response),
+            Err(Some(refusal)) => return refuse(&handler, &refusal),
+            Err(None) => {}
+        }
+    }
+}
+
+fn stream_response<P>(
+    handler: RequestHandler<P>,
+    server_response: Box<StreamingResponse>,
+    flight: FlightGuard<P>,
+) -> ClientResponse<P>
+where
+    P: Platform,
+{
+    let mut response = Response::new(());
+    *response.status_mut() = server_response.head.status;
+    *response.headers_mut() = P::ClientProtocol::relay_headers(&server_response.head.headers);
+    response.headers_mut().remove(http::header::CONTENT_LENGTH);
+    ClientResponse::Stream(
+        response,
+        Box::new(Relay::new(handler, server_response, flight)),
+    )
+}
+
+// Collects a response and returns it for the client. The error is the refusal to send, or `None` if
+// another attempt is allowed.
+async fn complete_response<P>(
+    handler: &mut RequestHandler<P>,
+    server_response: Box<StreamingResponse>,
+    flight: FlightGuard<P>,
+) -> Result<Response<Bytes>, Option<Refusal>>
+where
+    P: Platform,
+{
+    let collected = tokio::time::timeout(
+        handler.remaining(),
+        server_response.collect(MAX_RESPONSE_BYTES),
+    );
+    let reason = match collected.await {
+        Ok(Ok((head, body))) => {
+            let failed = head.status.is_server_error();
+            flight.record_outcome(failed);
+            handler.record_bytes();
+            let outcome = if failed { "server_failed" } else { "answered" };
+            handler.log_end(outcome, Some(&flight.server), head.status.as_u16());
+            let mut response = Response::new(body);
+            *response.status_mut() = head.status;
+            *response.headers_mut() = P::ClientProtocol::relay_headers(&head.headers);
+            response.headers_mut().remove(http::header::CONTENT_LENGTH);
+            return Ok(response);
+        }
+        Ok(Err(reason)) => reason,
+        Err(_) => "the deadline passed during the response".to_owned(),
+    };
+    flight.record_outcome(true);
+    handler.exclude(&flight.server);
+    drop(flight);
+    if handler.acquire_retry() {
+        return Err(None);
+    }
+    let kind = if handler.remaining().is_zero() {
+        RefusalKind::DeadlineExceeded
+    } else {
+        RefusalKind::BackendFailed
+    };
+    let ending = apricotwell_types::Ending::OutcomeUnknown;
+    Err(Some(Refusal::not_run(kind, reason).with_ending(ending)))
+}
+
+// Ends a request with a refusal; refunds its tokens if no server ran it.
+fn refuse<P>(handler: &RequestHandler<P>, refusal: &Refusal) -> ClientResponse<P>
+where
+    P: Platform,
+{
+    if handler.runs == 0 {
+        let now = handler.gateway.now();
+        let mut dispatcher = handler.gateway.dispatcher.borrow_mut();
+        dispatcher.refund(now, &handler.admission);
+    }
+    handler.log_end(refusal.kind.code(), None, refusal.kind.status());
+    log_refusal(&handler.gateway, &handler.request, refusal);
+    ClientResponse::Complete(P::ClientProtocol::encode_refusal(refusal))
+}
+
+fn log_refusal<P>(gateway: &Gateway<P>, request: &RequestHead, refusal: &Refusal)
+where
+    P: Platform,
+{
+    let dispatcher = gateway.dispatcher.borrow();
+    let now = gateway.now();
+    gateway.metrics.count_request(refusal.kind.code());
+    let requested = request.requested_model.as_ref();
+    Event::new("request_refused")
+        .with("request", request.attempt.as_str())
+        .with("reason", refusal.kind.code())
+        .with("ending", refusal.ending.as_str())
+        .with("message", refusal.message.as_str())
+        .with("model", requested.map_or("", |requested| &*requested.model))
+        .with(
+            "config",
+            dispatcher.catalog.as_ref().map(|catalog| catalog.version),
+        )
+        .with(
+            "view_age_ms",
+            dispatcher
+                .freshness
+                .age(now)
+                .map(|age| age.as_millis() as u64),
+        )
+        .with(
+            "retry_after_ms",
+            refusal.retry_after.map(|after| after.as_millis() as u64),
+        )
+        .log();
+}
