--- a/crates/apricotwell_state/tests/fold.rs
+++ b/crates/apricotwell_state/tests/fold.rs
@@ -254,7 +254,7 @@
         Err(RejectReason::UnknownTarget)
     );
     assert_eq!(fixture.decide_on("a", "n", n, "s", 2), Ok(()));
-    let gone = |incarnation| {
+    let server_gone = |incarnation| {
         let server = "s".to_owned();
         Body::ServerGone(ServerGone {
             server,
@@ -262,10 +262,10 @@
         })
     };
     assert_eq!(
-        fixture.write("b", gone(1)),
+        fixture.write("b", server_gone(1)),
         Err(RejectReason::UnknownTarget)
     );
-    assert_eq!(fixture.write("b", gone(2)), Ok(()));
+    assert_eq!(fixture.write("b", server_gone(2)), Ok(()));
     assert_eq!(fixture.state.ledger().used_memory("s"), 0);
 }
 
