--- a/crates/apricotwell_adapters/src/engine.rs
+++ b/crates/apricotwell_adapters/src/engine.rs
@@ -32,7 +32,8 @@
     /// Memory in MiB.
     pub memory_mib: u64,
     /// Fencing number.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub fencing_token: u64,
     /// Start number of the engine that the order is meant for.
     pub incarnation: u64,
 }
@@ -130,7 +131,7 @@
             model: order.model.to_string(),
             version: order.version.clone(),
             memory_mib: order.memory_mib,
-            number: order.fencing_token,
+            fencing_token: order.fencing_token,
             incarnation: order.incarnation,
         };
         let order = self.try_order(address, &body);
--- a/crates/apricotwell_adapters/src/http.rs
+++ b/crates/apricotwell_adapters/src/http.rs
@@ -30,7 +30,7 @@
 }
 
 /// Returns the client for requests that may be repeated.
-pub fn attempt_client() -> Client {
+pub fn pooled_client() -> Client {
     client(MAX_IDLE)
 }
 
--- a/crates/apricotwell_adapters/src/instances.rs
+++ b/crates/apricotwell_adapters/src/instances.rs
@@ -11,11 +11,11 @@
 
 /// The platform's list, split into what the core asks for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedInstances {
     /// Entry instances by their addresses for peers.
     pub entries: Vec<Contact>,
     /// Addresses for callers of the entry instances, in the same order.
-    pub callers: Vec<String>,
+    pub client_addresses: Vec<String>,
     /// Backend servers.
     pub servers: Vec<ListedServer>,
 }
@@ -23,7 +23,7 @@
 /// The platform's list of live and leaving instances.
 pub trait InstanceList {
     /// Returns the list, `None` when the platform does not answer.
-    fn list(&self) -> impl Future<Output = Option<Listed>>;
+    fn list(&self) -> impl Future<Output = Option<ListedInstances>>;
 }
 
 /// One instance on the wire.
@@ -65,19 +65,19 @@
 }
 
 impl InstanceList for HttpInstances {
-    async fn list(&self) -> Option<Listed> {
+    async fn list(&self) -> Option<ListedInstances> {
         let fetch = async {
             let mut response = self.client.get(&self.url).send().await.ok()?;
             let bodies = response.json::<Vec<InstanceBody>>().await.ok()?;
-            Some(listed_from_body(bodies))
+            Some(split_instances(bodies))
         };
         tokio::time::timeout(self.timeout, fetch).await.ok()?
     }
 }
 
 /// Splits the platform's list.
-pub fn listed_from_body(bodies: Vec<InstanceBody>) -> Listed {
-    let mut listed = Listed::default();
+pub fn split_instances(bodies: Vec<InstanceBody>) -> ListedInstances {
+    let mut listed = ListedInstances::default();
     for body in bodies {
         if body.role != "entry" {
             listed.servers.push(ListedServer {
@@ -88,7 +88,7 @@
                 leaving: body.leaving,
             });
         } else if !body.leaving {
-            listed.callers.push(body.address);
+            listed.client_addresses.push(body.address);
             listed.entries.push(Contact {
                 id: body.id.into(),
                 address: body.peer_address,
--- a/crates/apricotwell_adapters/src/lib.rs
+++ b/crates/apricotwell_adapters/src/lib.rs
@@ -19,8 +19,8 @@
 mod log_store;
 
 pub use engine::{EngineControl, HttpEngine, OrderBody, OrderReply, ReplicaBody, ReportBody};
-pub use http::{attempt_client, control_client, is_unsent, single_use_client};
-pub use instances::{HttpInstances, InstanceBody, InstanceList, Listed, listed_from_body};
+pub use http::{control_client, is_unsent, pooled_client, single_use_client};
+pub use instances::{HttpInstances, InstanceBody, InstanceList, ListedInstances, split_instances};
 pub use log_store::{AppendReply, ExpiredReply, HttpLog, LogStore, RecordBatch, StreamSlice};
 
 /// What nearly every user of the crate needs.
--- a/crates/apricotwell_adapters/tests/contracts.rs
+++ b/crates/apricotwell_adapters/tests/contracts.rs
@@ -117,7 +117,7 @@
     let list = HttpInstances::new(&platform, TIMEOUT);
     let listed = list.list().await.unwrap();
     assert_eq!(&*listed.entries[0].id, "entry-1");
-    assert_eq!(listed.callers, ["127.0.0.1:1"]);
+    assert_eq!(listed.client_addresses, ["127.0.0.1:1"]);
     assert_eq!(
         (&*listed.servers[0].pool, listed.servers[0].leaving),
         ("engines", false)
--- a/crates/apricotwell_control/src/command.rs
+++ b/crates/apricotwell_control/src/command.rs
@@ -9,7 +9,7 @@
 use apricotwell_records::{Body, CONTROL_STREAM, OperatorKey, ReadError, Record};
 use apricotwell_types::KeyDigest;
 
-use crate::{Document, Fleet, Publisher, Session};
+use crate::{Document, FleetClient, Publisher, Session};
 
 /// Operators' command: configuration, keys and status.
 ///
@@ -408,14 +408,16 @@
 }
 
 async fn status(session: &Session, command: &StatusCommand) -> Result<String, String> {
-    let fleet = Fleet::new(session);
+    let fleet = FleetClient::new(session);
     let addresses = match &command.instance {
         Some(address) => vec![address.clone()],
         None => fleet.addresses().await?,
     };
     let mut text = String::new();
     for address in addresses {
-        let reply = fleet.ask::<serde_json::Value>(&address, "/-/status").await;
+        let reply = fleet
+            .query::<serde_json::Value>(&address, "/-/status")
+            .await;
         match reply {
             Ok(status) if command.json => text.push_str(&format!("{status}\n")),
             Ok(status) => text.push_str(&status_lines(&address, &status)),
@@ -452,16 +454,19 @@
 
 // The holder knows most, so it is asked first once any instance has named it.
 async fn explain(session: &Session, model: &str) -> Result<String, String> {
-    let fleet = Fleet::new(session);
+    let fleet = FleetClient::new(session);
     let path = format!("/-/explain?model={model}");
-    let mut best: serde_json::Value = fleet.ask_any(&path).await?;
+    let mut best: serde_json::Value = fleet.query_any(&path).await?;
     let holder = best["holder"].as_str().unwrap_or_default().to_owned();
     for address in fleet.addresses().await? {
-        let Ok(status) = fleet.ask::<serde_json::Value>(&address, "/-/status").await else {
+        let Ok(status) = fleet
+            .query::<serde_json::Value>(&address, "/-/status")
+            .await
+        else {
             continue;
         };
         if status["instance"]["id"] == holder.as_str() {
-            best = fleet.ask(&address, &path).await.unwrap_or(best);
+            best = fleet.query(&address, &path).await.unwrap_or(best);
         }
     }
     let text = serde_json::to_string_pretty(&best);
@@ -470,14 +475,14 @@
 }
 
 async fn addresses(session: &Session, command: &AddressesCommand) -> Result<String, String> {
-    let fleet = Fleet::new(session);
+    let fleet = FleetClient::new(session);
     let AddressesCommand {
         zone,
         organisation,
         model,
     } = command;
     let path = format!("/v1/addresses?zone={zone}&organisation={organisation}&model={model}");
-    let reply: serde_json::Value = fleet.ask_any(&path).await?;
+    let reply: serde_json::Value = fleet.query_any(&path).await?;
     let addresses = reply["addresses"].as_array().into_iter().flatten();
     let lines: Vec<&str> = addresses.filter_map(serde_json::Value::as_str).collect();
     let lifetime = &reply["lifetime_ms"];
--- a/crates/apricotwell_control/src/fleet.rs
+++ b/crates/apricotwell_control/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry instances as operators ask them.
+//! Entry instances as operators query them.
 
 use std::time::Duration;
 
@@ -55,12 +55,12 @@
 }
 
 /// Entry instances on the platform's list.
-pub struct Fleet<'a> {
+pub struct FleetClient<'a> {
     session: &'a Session,
     client: Client,
 }
 
-impl<'a> Fleet<'a> {
+impl<'a> FleetClient<'a> {
     /// Returns the fleet of a session's platform.
     pub fn new(session: &'a Session) -> Self {
         Self {
@@ -82,7 +82,7 @@
                 self.session.platform
             )
         })?;
-        Ok(listed.callers)
+        Ok(listed.client_addresses)
     }
 
     /// Asks one instance.
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// Fails when it does not answer or refuses.
-    pub async fn ask<T>(&self, address: &str, path: &str) -> Result<T, String>
+    pub async fn query<T>(&self, address: &str, path: &str) -> Result<T, String>
     where
         T: DeserializeOwned,
     {
@@ -119,13 +119,13 @@
     /// # Errors
     ///
     /// Fails with the last fault when none answers.
-    pub async fn ask_any<T>(&self, path: &str) -> Result<T, String>
+    pub async fn query_any<T>(&self, path: &str) -> Result<T, String>
     where
         T: DeserializeOwned,
     {
         let mut fault = "the list holds no entry instance".to_owned();
         for address in self.addresses().await? {
-            match self.ask(&address, path).await {
+            match self.query(&address, path).await {
                 Ok(reply) => return Ok(reply),
                 Err(reason) => fault = reason,
             }
--- a/crates/apricotwell_control/src/lib.rs
+++ b/crates/apricotwell_control/src/lib.rs
@@ -21,6 +21,6 @@
 
 pub use command::{Args, run_command};
 pub use document::{Document, DocumentError};
-pub use fleet::{ConfigReply, ConfigValue, Fleet};
+pub use fleet::{ConfigReply, ConfigValue, FleetClient};
 pub use publish::{PublishError, Publisher};
 pub use session::{Session, SessionError};
--- a/crates/apricotwell_control/src/publish.rs
+++ b/crates/apricotwell_control/src/publish.rs
@@ -6,7 +6,7 @@
 use apricotwell_adapters::{HttpLog, LogStore};
 use apricotwell_records::{AppendError, Body, CONTROL_STREAM, Put, Record};
 
-use crate::{ConfigReply, Fleet, Session};
+use crate::{ConfigReply, FleetClient, Session};
 
 /// Time in which the log must answer.
 const LOG_TIMEOUT: Duration = Duration::from_secs(3);
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishError {
     /// No instance could be asked.
-    Fleet(String),
+    FleetClient(String),
     /// The log took nothing.
     NotPublished,
     /// The log may have taken the change, and nobody could tell.
@@ -33,7 +33,7 @@
 impl fmt::Display for PublishError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PublishError::Fleet(reason) => f.write_str(reason),
+            PublishError::FleetClient(reason) => f.write_str(reason),
             PublishError::NotPublished => {
                 f.write_str("the log took nothing; publish again when it is up")
             }
@@ -56,7 +56,7 @@
 /// Publishes changes of one session.
 pub struct Publisher<'a> {
     session: &'a Session,
-    fleet: Fleet<'a>,
+    fleet: FleetClient<'a>,
     log: HttpLog,
 }
 
@@ -65,7 +65,7 @@
     pub fn new(session: &'a Session) -> Self {
         Self {
             session,
-            fleet: Fleet::new(session),
+            fleet: FleetClient::new(session),
             log: HttpLog::new(&session.platform, LOG_TIMEOUT),
         }
     }
@@ -87,8 +87,8 @@
     ///
     /// Fails when no instance answers.
     pub async fn config(&self, path: &str) -> Result<ConfigReply, PublishError> {
-        let reply = self.fleet.ask_any(&config_path(path)).await;
-        reply.map_err(PublishError::Fleet)
+        let reply = self.fleet.query_any(&config_path(path)).await;
+        reply.map_err(PublishError::FleetClient)
     }
 
     /// Appends a change on top of version `expected` and returns its offset and number.
@@ -141,13 +141,17 @@
         limit: Duration,
     ) -> Result<Duration, PublishError> {
         let began = Instant::now();
-        let mut missing = self.fleet.addresses().await.map_err(PublishError::Fleet)?;
+        let mut missing = self
+            .fleet
+            .addresses()
+            .await
+            .map_err(PublishError::FleetClient)?;
         while !missing.is_empty() {
             let mut still = Vec::new();
             for address in missing {
                 let reply = self
                     .fleet
-                    .ask::<ConfigReply>(&address, &config_path(path))
+                    .query::<ConfigReply>(&address, &config_path(path))
                     .await;
                 match reply {
                     Ok(reply) if reply.next_offset > offset => check(&reply, path, change)?,
--- a/crates/apricotwell_entry/src/api/callers.rs
+++ b/crates/apricotwell_entry/src/api/callers.rs
@@ -14,10 +14,10 @@
 use super::guard::{self, Caller};
 use crate::parse::{CompletionLimits, parse_completion};
 use crate::relay::{Clients, Outgoing, serve};
-use crate::{Shell, answer};
+use crate::{NodeDriver, answer};
 
 /// Answers `GET /v1/models`.
-pub(super) async fn models(shell: Data<Shell>, request: HttpRequest) -> HttpResponse {
+pub(super) async fn models(shell: Data<NodeDriver>, request: HttpRequest) -> HttpResponse {
     let caller = match guard::authenticate(&shell, &request) {
         Ok(caller) => caller,
         Err(refusal) => return refuse(&shell, &refusal),
@@ -29,7 +29,7 @@
 
 /// Answers `GET /v1/models/{model}`.
 pub(super) async fn model(
-    shell: Data<Shell>,
+    shell: Data<NodeDriver>,
     request: HttpRequest,
     name: Path<String>,
 ) -> HttpResponse {
@@ -43,7 +43,7 @@
 
 /// Answers chat and plain completions.
 pub(super) async fn complete(
-    shell: Data<Shell>,
+    shell: Data<NodeDriver>,
     clients: Data<Clients>,
     request: HttpRequest,
     payload: Payload,
@@ -55,7 +55,7 @@
 
 /// Answers whatever else may be a plain service.
 pub(super) async fn call_service(
-    shell: Data<Shell>,
+    shell: Data<NodeDriver>,
     clients: Data<Clients>,
     request: HttpRequest,
     payload: Payload,
@@ -66,7 +66,7 @@
 }
 
 async fn run(
-    shell: &Data<Shell>,
+    shell: &Data<NodeDriver>,
     clients: &Clients,
     prepared: Result<(Submission, Outgoing), Refusal>,
 ) -> HttpResponse {
@@ -76,7 +76,7 @@
     });
     match submitted {
         Ok((id, turns, outgoing)) => {
-            let shell: Arc<Shell> = shell.clone().into_inner();
+            let shell: Arc<NodeDriver> = shell.clone().into_inner();
             serve(shell, clients, id, turns, outgoing).await
         }
         Err(refusal) => refuse(shell, &refusal),
@@ -84,7 +84,7 @@
 }
 
 async fn prepare_completion(
-    shell: &Shell,
+    shell: &NodeDriver,
     request: &HttpRequest,
     payload: Payload,
 ) -> Result<(Submission, Outgoing), Refusal> {
@@ -126,7 +126,7 @@
 }
 
 async fn prepare_service(
-    shell: &Shell,
+    shell: &NodeDriver,
     request: &HttpRequest,
     payload: Payload,
 ) -> Result<(Submission, Outgoing), Refusal> {
@@ -176,7 +176,10 @@
     Ok((submission, outgoing))
 }
 
-fn find_route(shell: &Shell, request: &HttpRequest) -> Result<(String, RouteSettings), Refusal> {
+fn find_route(
+    shell: &NodeDriver,
+    request: &HttpRequest,
+) -> Result<(String, RouteSettings), Refusal> {
     let found = shell.look(|node, _| {
         let route = node
             .state()
@@ -189,7 +192,7 @@
     })
 }
 
-fn refuse(shell: &Shell, refusal: &Refusal) -> HttpResponse {
+fn refuse(shell: &NodeDriver, refusal: &Refusal) -> HttpResponse {
     shell.metrics().note_refusal(refusal);
     answer::refuse(refusal)
 }
--- a/crates/apricotwell_entry/src/api/guard.rs
+++ b/crates/apricotwell_entry/src/api/guard.rs
@@ -9,7 +9,7 @@
 use apricotwell_state::KeyOwner;
 use apricotwell_types::{BodyDigest, KeyDigest, Refusal, RefusalKind, WorkClass};
 
-use crate::Shell;
+use crate::NodeDriver;
 
 /// Longest Idempotency-Key.
 const MAX_KEY_BYTES: usize = 256;
@@ -30,7 +30,7 @@
 }
 
 /// Returns the caller, checking the key anew on each request of a connection.
-pub(crate) fn authenticate(shell: &Shell, request: &HttpRequest) -> Result<Caller, Refusal> {
+pub(crate) fn authenticate(shell: &NodeDriver, request: &HttpRequest) -> Result<Caller, Refusal> {
     let secret = bearer(request).ok_or_else(|| {
         let message = "no API key: send it as `Authorization: Bearer KEY`";
         Refusal::not_run(RefusalKind::InvalidKey, message)
@@ -52,7 +52,7 @@
 
 /// Returns the body, within its limits of size and time and without the caller's key.
 pub(crate) async fn read_body(
-    shell: &Shell,
+    shell: &NodeDriver,
     request: &HttpRequest,
     payload: Payload,
 ) -> Result<Bytes, Refusal> {
@@ -85,7 +85,7 @@
 
 /// Returns deadline, class and idempotency key from the headers.
 pub(crate) fn terms(
-    shell: &Shell,
+    shell: &NodeDriver,
     request: &HttpRequest,
     org: &str,
     class: WorkClass,
--- a/crates/apricotwell_entry/src/api/look_up.rs
+++ b/crates/apricotwell_entry/src/api/look_up.rs
@@ -4,7 +4,7 @@
 use actix_web::web::{Data, Query};
 use serde::{Deserialize, Serialize};
 
-use crate::Shell;
+use crate::NodeDriver;
 
 #[derive(Deserialize)]
 pub(super) struct LookUpQuery {
@@ -23,7 +23,7 @@
 }
 
 /// Answers `GET /v1/addresses`; needs no key, since a caller has no better place to ask.
-pub(super) async fn addresses(shell: Data<Shell>, query: Query<LookUpQuery>) -> HttpResponse {
+pub(super) async fn addresses(shell: Data<NodeDriver>, query: Query<LookUpQuery>) -> HttpResponse {
     let affinity = format!("{}/{}", query.organisation, query.model);
     let zone = if query.zone.is_empty() {
         shell.settings().instance.zone.clone()
--- a/crates/apricotwell_entry/src/api/operators.rs
+++ b/crates/apricotwell_entry/src/api/operators.rs
@@ -9,7 +9,7 @@
 use apricotwell_types::Refusal;
 
 use super::guard;
-use crate::{Shell, answer};
+use crate::{NodeDriver, answer};
 
 /// Answers `GET /healthz`: the process runs.
 pub(super) async fn health() -> HttpResponse {
@@ -17,7 +17,7 @@
 }
 
 /// Answers `GET /readyz`: callers may be sent here.
-pub(super) async fn ready(shell: Data<Shell>) -> HttpResponse {
+pub(super) async fn ready(shell: Data<NodeDriver>) -> HttpResponse {
     let (ready, view) = shell.look(|node, now| (node.is_ready(now), node.view(now).name()));
     if ready {
         HttpResponse::Ok().body(format!("{view}\n"))
@@ -27,7 +27,7 @@
 }
 
 /// Answers `GET /metrics`.
-pub(super) async fn metrics(shell: Data<Shell>) -> HttpResponse {
+pub(super) async fn metrics(shell: Data<NodeDriver>) -> HttpResponse {
     let (open, ready, age) = shell.look(|node, now| {
         let status = node.status(now).instance;
         (status.requests, status.ready, status.contact_ms)
@@ -40,7 +40,7 @@
 }
 
 /// Answers `GET /-/status`.
-pub(super) async fn status(shell: Data<Shell>, request: HttpRequest) -> HttpResponse {
+pub(super) async fn status(shell: Data<NodeDriver>, request: HttpRequest) -> HttpResponse {
     if let Err(refusal) = check_operator(&shell, &request) {
         return answer::refuse(&refusal);
     }
@@ -54,7 +54,7 @@
 
 /// Answers `GET /-/explain`.
 pub(super) async fn explain(
-    shell: Data<Shell>,
+    shell: Data<NodeDriver>,
     request: HttpRequest,
     query: Query<ExplainQuery>,
 ) -> HttpResponse {
@@ -81,7 +81,7 @@
 
 /// Answers `GET /-/config`: the values at or below a path.
 pub(super) async fn config(
-    shell: Data<Shell>,
+    shell: Data<NodeDriver>,
     request: HttpRequest,
     query: Query<ConfigQuery>,
 ) -> HttpResponse {
@@ -121,7 +121,7 @@
 }
 
 // Any registered operator may look; what one may change is decided by the fold.
-fn check_operator(shell: &Shell, request: &HttpRequest) -> Result<(), Refusal> {
+fn check_operator(shell: &NodeDriver, request: &HttpRequest) -> Result<(), Refusal> {
     let token = guard::header(request, "x-operator").and_then(OperatorToken::from_text);
     let now_s = apricotwell_logging::wall_time().as_secs();
     let known = token.and_then(|token| {
--- a/crates/apricotwell_entry/src/control.rs
+++ b/crates/apricotwell_entry/src/control.rs
@@ -13,7 +13,7 @@
 use apricotwell_peers::PeerLinks;
 use apricotwell_records::{CHECKPOINT_STREAM, CONTROL_STREAM, ReadError};
 
-use crate::Shell;
+use crate::NodeDriver;
 
 /// Longest wait of one read; also the longest time between two confirmations of the view.
 const READ_WAIT: Duration = Duration::from_millis(1000);
@@ -25,7 +25,7 @@
 const TICK: Duration = Duration::from_millis(25);
 
 /// Follows the control stream for ever.
-pub(crate) async fn follow_log<L>(shell: Arc<Shell>, log: L)
+pub(crate) async fn follow_log<L>(shell: Arc<NodeDriver>, log: L)
 where
     L: LogStore,
 {
@@ -53,7 +53,7 @@
 }
 
 // Reads the whole checkpoint stream; the latest whole checkpoint wins.
-async fn read_checkpoint<L>(shell: &Shell, log: &L)
+async fn read_checkpoint<L>(shell: &NodeDriver, log: &L)
 where
     L: LogStore,
 {
@@ -80,7 +80,7 @@
 }
 
 /// Looks at the platform's list for ever.
-pub(crate) async fn follow_list<L>(shell: Arc<Shell>, list: L)
+pub(crate) async fn follow_list<L>(shell: Arc<NodeDriver>, list: L)
 where
     L: InstanceList,
 {
@@ -88,7 +88,7 @@
     loop {
         if let Some(listed) = list.list().await {
             let ids = listed.entries.iter().map(|contact| contact.id.clone());
-            shell.set_callers(ids.zip(listed.callers).collect());
+            shell.set_callers(ids.zip(listed.client_addresses).collect());
             shell.tell(|node, now| node.on_instances(now, &listed.entries));
             shell.tell(|node, now| node.on_servers(now, listed.servers));
         }
@@ -97,7 +97,7 @@
 }
 
 /// Lets the node's time pass.
-pub(crate) async fn tick(shell: Arc<Shell>) {
+pub(crate) async fn tick(shell: Arc<NodeDriver>) {
     loop {
         shell.tell(|node, now| node.tick(now));
         sleep(TICK).await;
@@ -106,7 +106,7 @@
 
 /// Carries out actions for ever; each one that waits runs as a task of its own.
 pub(crate) async fn carry_out<L, C>(
-    shell: Arc<Shell>,
+    shell: Arc<NodeDriver>,
     mut actions: UnboundedReceiver<Action>,
     mut links: PeerLinks,
     log: L,
@@ -165,8 +165,13 @@
     }
 }
 
-async fn append<L>(shell: Arc<Shell>, log: L, stream: String, ticket: u64, records: Vec<Vec<u8>>)
-where
+async fn append<L>(
+    shell: Arc<NodeDriver>,
+    log: L,
+    stream: String,
+    ticket: u64,
+    records: Vec<Vec<u8>>,
+) where
     L: LogStore,
 {
     let result = log.append(&stream, records).await;
@@ -178,7 +183,7 @@
     }
 }
 
-async fn read_claims<L>(shell: Arc<Shell>, log: L, stream: String, from: u64)
+async fn read_claims<L>(shell: Arc<NodeDriver>, log: L, stream: String, from: u64)
 where
     L: LogStore,
 {
--- a/crates/apricotwell_entry/src/daemon.rs
+++ b/crates/apricotwell_entry/src/daemon.rs
@@ -22,7 +22,7 @@
 
 use crate::relay::Clients;
 use crate::streams;
-use crate::{Settings, Shell, api, control};
+use crate::{NodeDriver, Settings, api, control};
 
 /// Time in which refused requests get their answers at a forced end.
 const FAREWELL: Duration = Duration::from_millis(1500);
@@ -77,7 +77,7 @@
     let incarnation = wall_time().as_micros() as u64;
     let node = Node::new(Instant::now(), wall_time(), settings.node(incarnation));
     let (io, actions) = mpsc::unbounded_channel();
-    let shell = Arc::new(Shell::new(node, settings.clone(), events, io));
+    let shell = Arc::new(NodeDriver::new(node, settings.clone(), events, io));
     shell.write_event(Event::new(EventKind::ProcessStarted));
 
     start_tasks(&shell, &settings, secret, peers, actions);
@@ -98,7 +98,7 @@
 }
 
 fn start_tasks(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     settings: &Settings,
     secret: LinkSecret,
     peers: TcpListener,
@@ -126,7 +126,7 @@
 }
 
 fn start_server(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     settings: &Settings,
 ) -> Result<actix_web::dev::Server, Report<DaemonError>> {
     let data = Data::from(shell.clone());
@@ -171,7 +171,7 @@
 // First the look-up leaves this instance out; it accepts until callers' answers have lapsed and
 // ends once it is drained. A second signal or the limit ends it with what is known.
 async fn drain(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     settings: &Settings,
     terminate: &mut Signal,
     interrupt: &mut Signal,
@@ -193,7 +193,7 @@
     }
 }
 
-async fn end_requests(shell: &Arc<Shell>, reason: &str) {
+async fn end_requests(shell: &Arc<NodeDriver>, reason: &str) {
     let open = shell.look(|node, _| node.open_requests());
     warn!("{reason}: {open} open requests are ended");
     shell.end_all();
--- a/crates/apricotwell_entry/src/lib.rs
+++ b/crates/apricotwell_entry/src/lib.rs
@@ -1,6 +1,6 @@
 //! The entry daemon: callers' and operators' interfaces around one node.
 //!
-//! The [`Shell`] owns the node behind a lock and carries out its actions; everything that decides
+//! The [`NodeDriver`] owns the node behind a lock and carries out its actions; everything that decides
 //! is in `apricotwell_node`.
 //!
 //! # Examples
@@ -25,4 +25,4 @@
 
 pub use daemon::{DaemonError, run_daemon};
 pub use settings::{Settings, SettingsError, settings_reference};
-pub use shell::Shell;
+pub use shell::NodeDriver;
--- a/crates/apricotwell_entry/src/relay.rs
+++ b/crates/apricotwell_entry/src/relay.rs
@@ -14,7 +14,7 @@
 use apricotwell_node::{AttemptOutcome, Dispatch, StoredAnswer};
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
 
-use crate::Shell;
+use crate::NodeDriver;
 use crate::answer;
 use crate::shell::{Turn, Turns};
 use crate::streams::{AnswerStream, StreamContext};
@@ -51,7 +51,7 @@
 impl Clients {
     pub(crate) fn new() -> Self {
         Self {
-            repeatable: apricotwell_adapters::attempt_client(),
+            repeatable: apricotwell_adapters::pooled_client(),
             single_use: apricotwell_adapters::single_use_client(),
         }
     }
@@ -73,7 +73,7 @@
 
 // Drops the request from the node when its handler goes away.
 struct Pending {
-    shell: Arc<Shell>,
+    shell: Arc<NodeDriver>,
     request: RequestId,
     armed: bool,
 }
@@ -88,7 +88,7 @@
 
 /// Takes the turns of a request until it has an answer.
 pub(crate) async fn serve(
-    shell: Arc<Shell>,
+    shell: Arc<NodeDriver>,
     clients: &Clients,
     request: RequestId,
     mut turns: Turns,
@@ -131,7 +131,7 @@
 }
 
 async fn attempt(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     clients: &Clients,
     dispatch: &Dispatch,
     outgoing: &Outgoing,
@@ -164,7 +164,7 @@
 }
 
 async fn send(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     clients: &Clients,
     dispatch: &Dispatch,
     outgoing: &Outgoing,
@@ -221,7 +221,7 @@
 
 // Holds an answer back until it is whole, so that a broken one can be tried again.
 async fn whole(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     dispatch: &Dispatch,
     mut response: ClientResponse,
     media: String,
--- a/crates/apricotwell_entry/src/shell.rs
+++ b/crates/apricotwell_entry/src/shell.rs
@@ -30,7 +30,7 @@
 pub(crate) type Turns = mpsc::UnboundedReceiver<Turn>;
 
 /// The node with what surrounds it.
-pub struct Shell {
+pub struct NodeDriver {
     node: Mutex<Node>,
     waiting: Mutex<Map<RequestId, mpsc::UnboundedSender<Turn>>>,
     io: mpsc::UnboundedSender<Action>,
@@ -41,7 +41,7 @@
     ending: AtomicBool,
 }
 
-impl Shell {
+impl NodeDriver {
     /// Returns a shell that hands actions besides those for requests to `io`.
     pub(crate) fn new(
         node: Node,
--- a/crates/apricotwell_entry/src/streams.rs
+++ b/crates/apricotwell_entry/src/streams.rs
@@ -16,7 +16,7 @@
 use apricotwell_node::{AttemptOutcome, StoredAnswer};
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
 
-use crate::Shell;
+use crate::NodeDriver;
 use crate::answer::error_body;
 use crate::relay::usage_tokens;
 
@@ -90,7 +90,7 @@
 
 /// What a passed-on answer belongs to.
 pub(crate) struct StreamContext {
-    pub(crate) shell: Arc<Shell>,
+    pub(crate) shell: Arc<NodeDriver>,
     pub(crate) request: RequestId,
     pub(crate) attempt: String,
     pub(crate) prompt: Tokens,
--- a/crates/apricotwell_load/src/caller.rs
+++ b/crates/apricotwell_load/src/caller.rs
@@ -32,7 +32,7 @@
     /// Returns a caller of the instance at `address`.
     pub fn new(address: &str, key: &str) -> Self {
         Self {
-            client: apricotwell_adapters::attempt_client(),
+            client: apricotwell_adapters::pooled_client(),
             url: format!("http://{address}"),
             key: key.to_owned(),
         }
--- a/crates/apricotwell_standins/src/engine.rs
+++ b/crates/apricotwell_standins/src/engine.rs
@@ -174,7 +174,7 @@
         model: body.model.into(),
         version: body.version,
         memory_mib: body.memory_mib,
-        fencing_token: body.number,
+        fencing_token: body.fencing_token,
         incarnation: body.incarnation,
     })
 }
