--- a/crates/apricotwell_gateway/src/guard.rs
+++ b/crates/apricotwell_gateway/src/guard.rs
@@ -1,4 +1,4 @@
-//! Guards that give back what a request holds, however it ends.
+//! RAII guards that undo the accounting of a request on drop.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use crate::adapter::Platform;
 use crate::gateway::Gateway;
 
-/// Counts a request as being served until it is dropped.
+/// Counts a request as being served until the guard is dropped.
 pub struct ActiveGuard<P>
 where
     P: Platform,
@@ -22,7 +22,9 @@
 {
     /// Counts one request.
     pub fn new(gateway: &Rc<Gateway<P>>) -> Self {
-        gateway.active.set(gateway.active.get() + 1);
+        gateway
+            .active_requests
+            .set(gateway.active_requests.get() + 1);
         Self {
             gateway: Rc::clone(gateway),
         }
@@ -34,18 +36,18 @@
     P: Platform,
 {
     fn drop(&mut self) {
-        let active = &self.gateway.active;
+        let active = &self.gateway.active_requests;
         active.set(active.get().saturating_sub(1));
     }
 }
 
-/// Counts a request as in flight at a server until it is dropped.
+/// Counts a request as in flight on a server until the guard is dropped.
 pub struct FlightGuard<P>
 where
     P: Platform,
 {
     gateway: Rc<Gateway<P>>,
-    /// Server.
+    /// Server that runs the request.
     pub server: ServerId,
 }
 
@@ -53,7 +55,7 @@
 where
     P: Platform,
 {
-    /// Counts one request at `server`, which has to read `tokens` of its prompt.
+    /// Counts one request on `server`, which has to process `tokens` prompt tokens for it.
     pub fn new(gateway: &Rc<Gateway<P>>, server: ServerId, tokens: f64) -> Self {
         let now = gateway.now();
         let mut dispatcher = gateway.dispatcher.borrow_mut();
@@ -65,8 +67,8 @@
         }
     }
 
-    /// Notes whether the server answered as it should.
-    pub fn note_outcome(&self, failed: bool) {
+    /// Records whether the server failed the request.
+    pub fn record_outcome(&self, failed: bool) {
         let now = self.gateway.now();
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         dispatcher
@@ -83,42 +85,42 @@
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         dispatcher.backends.end_request(&self.server);
         drop(dispatcher);
-        self.gateway.changed.notify_waiters();
+        self.gateway.servers_changed.notify_waiters();
     }
 }
 
-/// Counts a request as waiting for a model until it is dropped.
+/// Counts a request as waiting for a model until the guard is dropped.
 pub struct WaitGuard<P>
 where
     P: Platform,
 {
     gateway: Rc<Gateway<P>>,
     service: ServiceId,
-    wanted: RequestedModel,
-    wait: u64,
+    model: RequestedModel,
+    wait_id: u64,
 }
 
 impl<P> WaitGuard<P>
 where
     P: Platform,
 {
-    /// Counts one request, `None` if it wants no model.
+    /// Counts one request; returns `None` if it requests no model.
     pub fn new(gateway: &Rc<Gateway<P>>, admission: &Admission) -> Option<Self> {
-        let wanted = admission.requested_model.clone()?;
+        let model = admission.requested_model.clone()?;
         let now = gateway.now();
-        let wait = gateway.dispatcher.borrow_mut().demand.begin_wait(
+        let wait_id = gateway.dispatcher.borrow_mut().demand.begin_wait(
             now,
             &admission.service,
-            &wanted,
+            &model,
             admission.silence_deadline,
         );
-        gateway.urging.notify_one();
-        gateway.planning.notify_one();
+        gateway.demand_changed.notify_one();
+        gateway.replan.notify_one();
         Some(Self {
             gateway: Rc::clone(gateway),
             service: admission.service.clone(),
-            wanted,
-            wait,
+            model,
+            wait_id,
         })
     }
 }
@@ -130,6 +132,6 @@
     fn drop(&mut self) {
         let mut dispatcher = self.gateway.dispatcher.borrow_mut();
         let demand = &mut dispatcher.demand;
-        demand.end_wait(&self.service, &self.wanted, self.wait);
+        demand.end_wait(&self.service, &self.model, self.wait_id);
     }
 }
--- /dev/null
+++ b/crates/apricotwell_gateway/src/handler.rs
@@ -0,0 +1,489 @@
+//! Handling of one admitted request: server selection, attempts and retries.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use apricotwell_dispatch::prelude::*;
+use apricotwell_types::{Ending, Refusal, RefusalKind, ServerId};
+use http::request;
+
+use crate::adapter::{Attempt, ClientProtocol, Platform};
+use crate::events::Event;
+use crate::gateway::Gateway;
+use crate::guard::{ActiveGuard, FlightGuard, WaitGuard};
+use crate::pool::{Reuse, SendError, StreamingResponse};
+use crate::requests::BufferedBody;
+
+/// Maximum idle time of a connection that is reused for a request that must not run twice.
+const MAX_FRESH_IDLE: Duration = Duration::from_millis(1500);
+/// Maximum interval at which a waiting request looks for a server, even if no change was signalled.
+const SERVER_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Multiple of the route's latency target after which an attempt of a repeatable request without
+/// streaming is abandoned and retried on another server.
+const PLAIN_TIMEOUT_FACTOR: u32 = 4;
+/// Fraction of the grace period during which requests may still wait for a server after a request
+/// to stop.
+const WAIT_GRACE_FRACTION: f64 = 0.55;
+/// Number of rejections by servers after which a request is refused.
+const MAX_REJECTIONS: usize = 8;
+
+/// An admitted request and the state of its attempts.
+pub struct RequestHandler<P>
+where
+    P: Platform,
+{
+    /// Instance that serves the request.
+    pub gateway: Rc<Gateway<P>>,
+    /// Request head as received.
+    pub head: request::Parts,
+    /// Request body as received.
+    pub body: BufferedBody,
+    /// Decoded request head.
+    pub request: RequestHead,
+    /// Result of the admission.
+    pub admission: Admission,
+    /// Servers excluded from further attempts.
+    pub excluded: Vec<ServerId>,
+    /// Number of attempts that a server ran or may have run.
+    pub runs: u32,
+    // Number of attempts that were not sent or that a server rejected without running them.
+    rejections: usize,
+    /// Time at which a server was selected for the last attempt.
+    server_found: Option<Instant>,
+    /// Time at which the first bytes of the response were received.
+    first_byte: Option<Instant>,
+    // Time at which the last bytes of the response were received.
+    last_bytes: Option<Instant>,
+    // Longest pause between bytes of the response.
+    longest_pause: Duration,
+    // Counts the request as active until its response has ended.
+    _active: ActiveGuard<P>,
+}
+
+/// Outcome of one attempt.
+pub enum AttemptOutcome<P>
+where
+    P: Platform,
+{
+    /// The server responded to this attempt.
+    Response(Box<StreamingResponse>, FlightGuard<P>),
+    /// No server ran the attempt; the reason.
+    NotRun(String),
+    /// The server may have run the attempt, but there is no valid response; the reason.
+    Lost(String),
+}
+
+impl<P> RequestHandler<P>
+where
+    P: Platform,
+{
+    /// Creates the handler of a request that was just admitted.
+    pub fn new(
+        gateway: &Rc<Gateway<P>>,
+        head: request::Parts,
+        body: BufferedBody,
+        request: RequestHead,
+        admission: Admission,
+    ) -> Self {
+        Self {
+            gateway: Rc::clone(gateway),
+            head,
+            body,
+            request,
+            admission,
+            excluded: Vec::new(),
+            runs: 0,
+            rejections: 0,
+            server_found: None,
+            first_byte: None,
+            last_bytes: None,
+            longest_pause: Duration::ZERO,
+            _active: ActiveGuard::new(gateway),
+        }
+    }
+
+    /// Returns the time until the request's deadline.
+    pub fn remaining(&self) -> Duration {
+        let now = self.gateway.now();
+        self.admission.deadline.saturating_duration_since(now)
+    }
+
+    /// Restarts the client's timeout for the next event of the response.
+    ///
+    /// To be called when a stream is resumed, after the client has received part of it.
+    pub fn reset_wait_deadline(&mut self) {
+        let timeout = self.admission.route.silence_timeout();
+        self.admission.silence_deadline =
+            (self.gateway.now() + timeout).min(self.admission.deadline);
+    }
+
+    /// Sends attempts until a server responds; returns its response.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal to send to the client.
+    pub async fn first_response(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<(Box<StreamingResponse>, FlightGuard<P>), Refusal> {
+        loop {
+            let (server, address) = self.find_server().await?;
+            let outcome = self.send(&server, address, last_event).await;
+            match outcome {
+                AttemptOutcome::Response(response, flight) => {
+                    if !self.should_retry(&server, &response) {
+                        return Ok((response, flight));
+                    }
+                    flight.record_outcome(true);
+                    self.excluded.push(server);
+                }
+                AttemptOutcome::NotRun(reason) => {
+                    self.log_attempt(&server, "not_run", &reason);
+                    self.on_rejection(&server, &reason)?;
+                }
+                AttemptOutcome::Lost(reason) => {
+                    self.log_attempt(&server, "lost", &reason);
+                    self.on_loss(&server, &reason)?;
+                }
+            }
+        }
+    }
+
+    /// Returns whether another attempt is allowed after one that may have run; if so, takes it from
+    /// the retry budget.
+    pub fn acquire_retry(&self) -> bool {
+        let route = &self.admission.route;
+        let now = self.gateway.now();
+        route.kind.is_repeatable()
+            && self.runs < route.max_attempts
+            && now < self.admission.deadline
+            && self
+                .gateway
+                .dispatcher
+                .borrow_mut()
+                .take_retry(now, &self.admission)
+    }
+
+    // Returns whether a server error should be retried on another server instead of being forwarded
+    // to the client.
+    fn should_retry(&self, server: &ServerId, response: &StreamingResponse) -> bool {
+        response.head.status.is_server_error()
+            && self.has_other_server(server)
+            && self.acquire_retry()
+    }
+
+    /// Excludes a server from further attempts, unless no other server is available right now.
+    pub fn exclude(&mut self, server: &ServerId) {
+        if self.has_other_server(server) {
+            self.excluded.push(server.clone());
+        }
+    }
+
+    /// Returns whether another server is available for the request right now.
+    pub fn has_other_server(&self, server: &ServerId) -> bool {
+        let mut excluded = self.excluded.clone();
+        excluded.push(server.clone());
+        let dispatcher = self.gateway.dispatcher.borrow();
+        let choice = dispatcher.select_server(
+            self.gateway.now(),
+            &self.admission,
+            &self.request,
+            &excluded,
+        );
+        matches!(choice, RoutingDecision::Send(..))
+    }
+
+    fn on_rejection(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
+        // A server that rejected a request for a model is not excluded, since it may load it
+        // shortly.
+        if reason == UNSENT || self.admission.requested_model.is_none() {
+            self.excluded.push(server.clone());
+        }
+        self.rejections += 1;
+        let now = self.gateway.now();
+        let mut dispatcher = self.gateway.dispatcher.borrow_mut();
+        let allowed = self.rejections < MAX_REJECTIONS
+            && (reason == UNSENT || dispatcher.take_retry(now, &self.admission));
+        drop(dispatcher);
+        if allowed {
+            return Ok(());
+        }
+        let text = "the servers rejected the request; retry later";
+        Err(self.refusal(RefusalKind::Overloaded, text))
+    }
+
+    fn on_loss(&mut self, server: &ServerId, reason: &str) -> Result<(), Refusal> {
+        self.exclude(server);
+        if self.acquire_retry() {
+            return Ok(());
+        }
+        let kind = if self.remaining().is_zero() {
+            RefusalKind::DeadlineExceeded
+        } else {
+            RefusalKind::BackendFailed
+        };
+        Err(self.refusal(kind, reason))
+    }
+
+    // Builds the refusal for a request whose attempts failed.
+    fn refusal(&self, kind: RefusalKind, text: &str) -> Refusal {
+        if self.runs > 0 {
+            let kind = match kind {
+                RefusalKind::DeadlineExceeded => kind,
+                _ => RefusalKind::BackendFailed,
+            };
+            return Refusal::not_run(kind, text).with_ending(Ending::OutcomeUnknown);
+        }
+        Refusal::not_run(kind, text).with_retry_after(Duration::from_millis(300))
+    }
+
+    // Selects a server, waiting for one if necessary.
+    async fn find_server(&mut self) -> Result<(ServerId, std::net::SocketAddr), Refusal> {
+        let mut waiting = None;
+        loop {
+            let changed = self.gateway.servers_changed.notified();
+            tokio::pin!(changed);
+            changed.as_mut().enable();
+            let now = self.gateway.now();
+            let choice = {
+                let dispatcher = self.gateway.dispatcher.borrow();
+                dispatcher.select_server(now, &self.admission, &self.request, &self.excluded)
+            };
+            match choice {
+                RoutingDecision::Send(server, address) => {
+                    self.server_found = Some(now);
+                    return Ok((server, address));
+                }
+                RoutingDecision::Refuse(refusal) if self.runs == 0 => return Err(refusal),
+                RoutingDecision::Refuse(refusal) => {
+                    return Err(self.refusal(refusal.kind, &refusal.message));
+                }
+                RoutingDecision::Wait => {}
+            }
+            if self.must_stop_waiting() {
+                let text = "this instance is shutting down; use another one";
+                return Err(self.refusal(RefusalKind::Unavailable, text));
+            }
+            if waiting.is_none() {
+                waiting = WaitGuard::new(&self.gateway, &self.admission);
+                self.log_wait();
+            }
+            let left = self
+                .admission
+                .silence_deadline
+                .saturating_duration_since(now);
+            // Not every change is signalled, and the end of the wait never is, so this polls as
+            // well.
+            let _ = tokio::time::timeout(left.min(SERVER_POLL_INTERVAL), changed).await;
+        }
+    }
+
+    /// Sends one attempt and waits for the head of the response.
+    pub async fn send(
+        &mut self,
+        server: &ServerId,
+        address: std::net::SocketAddr,
+        last_event: Option<u64>,
+    ) -> AttemptOutcome<P> {
+        let tokens = self.record_prompt(server);
+        let flight = FlightGuard::new(&self.gateway, server.clone(), tokens);
+        let attempt = Attempt {
+            server,
+            remaining: self.remaining(),
+            organisation: self
+                .admission
+                .organisation
+                .as_ref()
+                .map(|organisation| &*organisation.name),
+            priority: None,
+            last_event,
+        };
+        let server_request = P::ClientProtocol::encode_attempt(
+            &self.head,
+            &self.request,
+            &attempt,
+            self.body.bytes.clone(),
+        );
+        let reuse = if self.admission.route.kind.is_repeatable() {
+            Reuse::Any
+        } else {
+            Reuse::Within(MAX_FRESH_IDLE)
+        };
+        let response = self.gateway.pool.send(address, server_request, reuse);
+        let result = tokio::time::timeout(self.head_timeout(), response).await;
+        self.classify_response(result, flight)
+    }
+
+    // Records that the server receives the prompt; returns the prompt tokens not yet in its cache.
+    fn record_prompt(&self, server: &ServerId) -> f64 {
+        let Some(model) = &self.admission.requested_model else {
+            return 0.0;
+        };
+        let mut dispatcher = self.gateway.dispatcher.borrow_mut();
+        let prompts = &mut dispatcher.prompts;
+        let tokens = prompts.uncached_tokens(server, model, &self.request.prompt);
+        prompts.record_sent(server, model, &self.request.prompt);
+        tokens
+    }
+
+    fn classify_response(
+        &mut self,
+        result: Result<Result<StreamingResponse, SendError>, tokio::time::error::Elapsed>,
+        flight: FlightGuard<P>,
+    ) -> AttemptOutcome<P> {
+        let response = match result {
+            Ok(Ok(response)) => response,
+            Ok(Err(SendError::Unsent(_))) => {
+                flight.record_outcome(true);
+                return AttemptOutcome::NotRun(UNSENT.to_owned());
+            }
+            Ok(Err(SendError::Lost(reason))) => {
+                self.runs += 1;
+                flight.record_outcome(true);
+                return AttemptOutcome::Lost(reason);
+            }
+            Err(_) => {
+                self.runs += 1;
+                flight.record_outcome(true);
+                return AttemptOutcome::Lost("no response in time".to_owned());
+            }
+        };
+        let head = P::ClientProtocol::decode_response(&response.head, &self.request);
+        if head.misdirected {
+            self.record_rejection(&flight.server);
+            return AttemptOutcome::NotRun("misdirected".to_owned());
+        }
+        if head.not_run {
+            self.record_rejection(&flight.server);
+            return AttemptOutcome::NotRun("turned away".to_owned());
+        }
+        self.runs += 1;
+        if !head.matches_attempt || (response.head.status.is_success() && !head.is_sealed) {
+            flight.record_outcome(true);
+            return AttemptOutcome::Lost("the response belongs to another request".to_owned());
+        }
+        AttemptOutcome::Response(Box::new(response), flight)
+    }
+
+    // Records that the server does not have the requested model.
+    fn record_rejection(&self, server: &ServerId) {
+        let Some(model) = &self.admission.requested_model else {
+            return;
+        };
+        let now = self.gateway.now();
+        let mut dispatcher = self.gateway.dispatcher.borrow_mut();
+        dispatcher.backends.record_rejection(now, server, model);
+    }
+
+    // Returns the timeout for the head of a response. It is shorter than the time to the deadline
+    // if the request can be retried on another server.
+    fn head_timeout(&self) -> Duration {
+        let remaining = self.remaining();
+        let route = &self.admission.route;
+        if !route.kind.is_repeatable() || self.runs + 1 >= route.max_attempts {
+            return remaining;
+        }
+        let retry_timeout = if route.kind.is_stream() {
+            route.target / 2
+        } else {
+            route.target * PLAIN_TIMEOUT_FACTOR
+        };
+        let has_other = {
+            let dispatcher = self.gateway.dispatcher.borrow();
+            let now = self.gateway.now();
+            let mut servers = dispatcher.backends.usable(now, &self.admission.service);
+            servers
+                .by_ref()
+                .filter(|server| server.serves(now, self.admission.requested_model.as_ref()))
+                .count()
+                > self.excluded.len() + 1
+        };
+        if has_other {
+            remaining.min(retry_timeout)
+        } else {
+            remaining
+        }
+    }
+
+    // Returns whether a waiting request must be refused because the instance is stopping. Until
+    // then, the rest of the grace period is long enough to serve it.
+    fn must_stop_waiting(&self) -> bool {
+        let limit = self.gateway.times.grace.mul_f64(WAIT_GRACE_FRACTION);
+        self.gateway
+            .time_since_stop()
+            .is_some_and(|time| time > limit)
+    }
+
+    fn log_wait(&self) {
+        Event::new("request_waits")
+            .with("request", self.request.attempt.as_str())
+            .with("model", self.model_name())
+            .with_time("patience_ms", self.wait_remaining())
+            .log();
+    }
+
+    fn wait_remaining(&self) -> Duration {
+        let now = self.gateway.now();
+        self.admission
+            .silence_deadline
+            .saturating_duration_since(now)
+    }
+
+    fn log_attempt(&self, server: &ServerId, outcome: &str, reason: &str) {
+        Event::new("attempt_ended")
+            .with("request", self.request.attempt.as_str())
+            .with("server", &**server)
+            .with("outcome", outcome)
+            .with("reason", reason)
+            .with("runs", self.runs)
+            .log();
+    }
+
+    /// Logs the end of the request and counts its outcome.
+    pub fn log_end(&self, outcome: &str, server: Option<&ServerId>, status: u16) {
+        let now = self.gateway.now();
+        let time = now.saturating_duration_since(self.admission.arrived);
+        self.gateway.metrics.count_request(outcome);
+        Event::new("request_ended")
+            .with("request", self.request.attempt.as_str())
+            .with("route", &*self.admission.route.name)
+            .with("server", server.map_or("", |server| &**server))
+            .with("outcome", outcome)
+            .with("status", status)
+            .with("runs", self.runs)
+            .with("model", self.model_name())
+            .with("tokens", self.admission.tokens)
+            .with("waited_ms", self.millis_to(self.server_found))
+            .with("first_byte_ms", self.millis_to(self.first_byte))
+            .with_time("longest_pause_ms", self.longest_pause)
+            .with_time("ms", time)
+            .log();
+    }
+
+    fn model_name(&self) -> &str {
+        let requested = self.admission.requested_model.as_ref();
+        requested.map_or("", |requested| &*requested.model)
+    }
+
+    // Returns the milliseconds from the arrival of the request to `end`.
+    fn millis_to(&self, end: Option<Instant>) -> Option<u64> {
+        let time = end?.saturating_duration_since(self.admission.arrived);
+        Some(time.as_millis() as u64)
+    }
+
+    /// Records that bytes of the response were received.
+    pub fn record_bytes(&mut self) {
+        let now = self.gateway.now();
+        if let Some(last) = self.last_bytes.replace(now) {
+            let pause = now.saturating_duration_since(last);
+            self.longest_pause = self.longest_pause.max(pause);
+            return;
+        }
+        self.first_byte = Some(now);
+        let time = now.saturating_duration_since(self.admission.arrived);
+        self.gateway.metrics.observe_first_byte(time);
+    }
+}
+
+/// Reason logged for an attempt of which nothing was sent.
+const UNSENT: &str = "not sent";
--- a/crates/apricotwell_state/src/rejection.rs
+++ b/crates/apricotwell_state/src/rejection.rs
@@ -1,27 +1,27 @@
-//! Why a record had no effect.
+//! Reasons why records are rejected.
 
 use std::fmt;
 
 use apricotwell_types::Offset;
 
-/// Why a record had no effect; every reader comes to the same one.
+/// Why a record was rejected; the same on every instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Rejected {
-    /// The writer's record was applied before.
-    Repeated,
-    /// The bytes or the kind are unknown to this version.
+pub enum RejectReason {
+    /// The record was already applied, or a later one of the same writer was.
+    Duplicate,
+    /// The bytes can't be decoded, or this version does not know the kind of record.
     Unreadable,
-    /// The writer is not an operator known to the configuration.
+    /// The writer is not an operator registered in the configuration.
     UnknownOperator,
-    /// The signature does not fit the operator's registered key.
-    WrongSignature,
-    /// The path lies outside of the operator's subtree.
+    /// The signature does not match the operator's registered key.
+    InvalidSignature,
+    /// The path is outside the operator's subtree.
     OutsideSubtree,
-    /// Another change came first; the field holds its version.
+    /// Another change was applied first; contains the current version.
     VersionConflict(Offset),
-    /// The value or the path is malformed.
+    /// The value or the path is malformed; contains the reason.
     Malformed(String),
-    /// The lease or fence that the record was decided at has passed.
+    /// The record was decided under a lease or fence that is no longer current.
     StaleFence,
     /// The record's server or replica is unknown or of another incarnation.
     UnknownTarget,
@@ -29,57 +29,61 @@
     ReplicaLimit,
     /// The server has too little memory left.
     MemoryLimit,
-    /// The step does not follow from the replica's phase.
+    /// The replica's phase does not allow the change.
     WrongPhase,
 }
 
-impl fmt::Display for Rejected {
+impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejected::Repeated => f.write_str("the record was applied before; nothing to do"),
-            Rejected::Unreadable => {
+            RejectReason::Duplicate => {
+                f.write_str("the record has already been applied; nothing to do")
+            }
+            RejectReason::Unreadable => {
                 f.write_str("the record is of an unknown kind; upgrade this instance")
             }
-            Rejected::UnknownOperator => {
+            RejectReason::UnknownOperator => {
                 f.write_str("the operator is not registered under /platform/operators")
             }
-            Rejected::WrongSignature => {
-                f.write_str("the signature does not fit the operator's registered key")
+            RejectReason::InvalidSignature => {
+                f.write_str("the signature does not match the operator's registered key")
             }
-            Rejected::OutsideSubtree => {
-                f.write_str("the path lies outside of the operator's subtree; ask its owner")
+            RejectReason::OutsideSubtree => {
+                f.write_str("the path is outside the operator's subtree; ask the owner of the path")
             }
-            Rejected::VersionConflict(version) => write!(
+            RejectReason::VersionConflict(version) => write!(
                 f,
-                "another change won with version {version}; read it and publish again on top of it"
+                "another change set version {version} first; read it and publish again on top"
             ),
-            Rejected::Malformed(reason) => f.write_str(reason),
-            Rejected::StaleFence => f.write_str("the lease has moved; its new holder decides"),
-            Rejected::UnknownTarget => {
+            RejectReason::Malformed(reason) => f.write_str(reason),
+            RejectReason::StaleFence => f.write_str("the lease has moved; its new holder decides"),
+            RejectReason::UnknownTarget => {
                 f.write_str("the server or replica is unknown or has restarted; decide again")
             }
-            Rejected::ReplicaLimit => {
+            RejectReason::ReplicaLimit => {
                 f.write_str("the model has max_replicas replicas; raise it or retire one")
             }
-            Rejected::MemoryLimit => {
+            RejectReason::MemoryLimit => {
                 f.write_str("the server has too little memory; retire a replica on it first")
             }
-            Rejected::WrongPhase => f.write_str("the replica is past this step; nothing to do"),
+            RejectReason::WrongPhase => {
+                f.write_str("the replica's phase does not allow the change; nothing to do")
+            }
         }
     }
 }
 
-impl std::error::Error for Rejected {}
+impl std::error::Error for RejectReason {}
 
-/// Record that had no effect.
+/// Record that was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Where the record stands.
+    /// Offset of the record.
     pub offset: Offset,
-    /// Who wrote it.
+    /// Instance or operator that wrote the record.
     pub writer: String,
-    /// Change number for configuration, otherwise 0.
+    /// Number of the configuration change; 0 for other records.
     pub change: u64,
-    /// Reason.
-    pub reason: Rejected,
+    /// Why it was rejected.
+    pub reason: RejectReason,
 }
