--- a/crates/apricotwell_adapters/src/engine.rs
+++ b/crates/apricotwell_adapters/src/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to model engines and their reports.
+//! Load and unload orders to model engines, and the engines' reports.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,80 +9,80 @@
 
 use apricotwell_node::{EngineOrder, OrderKind, OrderOutcome, ReportedReplica, ServerReport};
 
-/// Orders to a model engine and its reports.
+/// Sends orders to model engines and requests their reports.
 pub trait EngineControl {
-    /// Gives an order and waits for its outcome.
+    /// Sends an order and waits for its outcome.
     fn order(&self, address: &str, order: &EngineOrder) -> impl Future<Output = OrderOutcome>;
 
-    /// Returns a report, `None` when the engine does not answer.
+    /// Requests a report; returns `None` if the engine does not respond.
     fn report(&self, address: &str) -> impl Future<Output = Option<ServerReport>>;
 }
 
-/// Order on the wire.
+/// Wire format of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderBody {
     /// `load` or `unload`.
     pub kind: String,
-    /// Replica.
+    /// Id of the replica.
     pub replica: u64,
     /// Model, or `model:adapter`.
     pub model: String,
     /// Version of the weights.
     pub version: String,
-    /// Memory in MiB.
+    /// Memory of the replica in MiB.
     pub memory_mib: u64,
-    /// Fencing number.
+    /// Fencing token; engines that fence refuse an order with a lower one than they have seen.
     #[serde(rename = "number")]
     pub fencing_token: u64,
-    /// Start number of the engine that the order is meant for.
+    /// Incarnation of the engine process that the order is meant for.
     pub incarnation: u64,
 }
 
-/// Answer to an order.
+/// Wire format of the reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// Whether the order took effect, now or before.
+    /// Whether the order has taken effect, now or earlier.
     pub done: bool,
-    /// Why not.
+    /// Why the order had no effect.
     #[serde(default)]
     pub reason: String,
 }
 
-/// Replica in a report on the wire.
+/// Wire format of a replica in a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaBody {
-    /// Replica.
+    /// Id of the replica.
     pub replica: u64,
     /// Model, or `model:adapter`.
     pub model: String,
-    /// Whether it is loaded, not merely being loaded.
+    /// Whether loading has completed.
     pub loaded: bool,
 }
 
-/// Report on the wire.
+/// Wire format of a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportBody {
-    /// Start number.
+    /// Incarnation of the engine process.
     pub incarnation: u64,
-    /// Replicas.
+    /// Replicas that are loaded or being loaded.
     pub replicas: Vec<ReplicaBody>,
-    /// Requests running and waiting.
+    /// Number of running and waiting requests.
     pub requests: u32,
     /// Age of `requests` in milliseconds.
     #[serde(default)]
     pub lag_ms: u64,
-    /// Whether it takes no new work.
+    /// Whether the engine drains and accepts no new work.
     #[serde(default)]
     pub leaving: bool,
-    /// Models whose weights it has in memory or on disk.
+    /// Models whose weights the engine has in memory or on disk.
     #[serde(default)]
     pub cached: Vec<String>,
-    /// Memory in MiB that its replicas take.
+    /// Memory that the replicas use, in MiB.
     #[serde(default)]
     pub used_mib: u64,
 }
 
-/// Model engines over HTTP.
+/// Controls model engines over HTTP.
 #[derive(Clone)]
 pub struct HttpEngine {
     client: Client,
@@ -91,10 +91,11 @@
 }
 
 impl HttpEngine {
-    /// Returns the adapter; an order without an answer in time has an unknown outcome.
+    /// Returns an adapter with the given timeouts; an order that times out has an unknown outcome.
     pub fn new(order_timeout: Duration, report_timeout: Duration) -> Self {
         Self {
-            // A fresh connection for each order: only a failure to connect proves it unsent.
+            // A new connection for each order, since only a failure to connect proves that the
+            // order was not sent.
             client: crate::single_use_client(),
             order_timeout,
             report_timeout,
--- a/crates/apricotwell_adapters/src/http.rs
+++ b/crates/apricotwell_adapters/src/http.rs
@@ -5,16 +5,16 @@
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, Connector};
 
-/// Idle time after which a connection is not used again; well below what servers allow, so that a
-/// request does not meet a connection that the server has just closed.
+/// Idle time after which a pooled connection is discarded. Well below the idle timeouts of servers,
+/// so that a request is not sent on a connection that the server is closing.
 const MAX_IDLE: Duration = Duration::from_secs(4);
-/// Time in which a connection must come about.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Returns whether an error proves that nothing of the request was sent.
 ///
-/// The client reports a connection that closes before the answer's head as a connect error too, so
-/// only those kinds count that arise before a connection stands.
+/// `awc` also reports a connection that closes before the response's head as a connect error, so only
+/// the kinds that occur before a connection is established count.
 pub fn is_unsent(error: &SendRequestError) -> bool {
     let SendRequestError::Connect(error) = error else {
         return false;
@@ -29,18 +29,19 @@
     )
 }
 
-/// Returns the client for requests that may be repeated.
+/// Returns a client for requests that may be repeated; it reuses connections.
 pub fn pooled_client() -> Client {
     client(MAX_IDLE)
 }
 
-/// Returns the client for requests that must not be repeated: each gets a fresh connection, so
-/// that a failure to connect proves that nothing was sent.
+/// Returns a client for requests that must not be repeated.
+///
+/// Each request gets a new connection, so that a failure to connect proves that nothing was sent.
 pub fn single_use_client() -> Client {
     client(Duration::ZERO)
 }
 
-/// Returns the client for the platform and for orders.
+/// Returns a client for requests to the platform and to the operators' interface.
 pub fn control_client() -> Client {
     client(MAX_IDLE)
 }
--- a/crates/apricotwell_adapters/src/instances.rs
+++ b/crates/apricotwell_adapters/src/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of instances.
+//! The platform's list of instances, which may be out of date.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,43 +9,43 @@
 use apricotwell_membership::Contact;
 use apricotwell_node::ListedServer;
 
-/// The platform's list, split into what the core asks for.
+/// The platform's instance list, split into entry instances and backend servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListedInstances {
-    /// Entry instances by their addresses for peers.
+    /// Entry instances that are not draining, with their addresses for peers.
     pub entries: Vec<Contact>,
-    /// Addresses for callers of the entry instances, in the same order.
+    /// Client addresses of the entry instances, in the order of `entries`.
     pub client_addresses: Vec<String>,
     /// Backend servers.
     pub servers: Vec<ListedServer>,
 }
 
-/// The platform's list of live and leaving instances.
+/// Reads the platform's list of live and draining instances.
 pub trait InstanceList {
-    /// Returns the list, `None` when the platform does not answer.
+    /// Returns the list, or `None` if the platform does not respond.
     fn list(&self) -> impl Future<Output = Option<ListedInstances>>;
 }
 
-/// One instance on the wire.
+/// Wire format of an instance in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceBody {
-    /// Instance.
+    /// Id of the instance.
     pub id: String,
     /// `entry`, or the pool of a backend server.
     pub role: String,
-    /// Address for callers as `ip:port`.
+    /// Address for clients as `ip:port`.
     pub address: String,
     /// Address for peers as `ip:port`; entry instances only.
     #[serde(default)]
     pub peer_address: String,
     /// Availability zone.
     pub zone: String,
-    /// Whether it is leaving.
+    /// Whether the instance is draining.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The platform's list over HTTP.
+/// Reads the platform's instance list over HTTP.
 #[derive(Clone)]
 pub struct HttpInstances {
     client: Client,
@@ -54,7 +54,7 @@
 }
 
 impl HttpInstances {
-    /// Returns the list at `address`.
+    /// Returns an adapter for the platform at `address`.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self {
             client: crate::control_client(),
@@ -75,7 +75,8 @@
     }
 }
 
-/// Splits the platform's list.
+/// Splits the platform's list into entry instances and backend servers; omits draining entry
+/// instances.
 pub fn split_instances(bodies: Vec<InstanceBody>) -> ListedInstances {
     let mut listed = ListedInstances::default();
     for body in bodies {
--- a/crates/apricotwell_adapters/src/lib.rs
+++ b/crates/apricotwell_adapters/src/lib.rs
@@ -1,8 +1,8 @@
 //! Adapters to the platform and to backend servers.
 //!
-//! Each interface is a trait in the core's vocabulary with one HTTP adapter; only the adapters know
-//! a wire format, which is described in `docs/INTERFACES.md`. Any implementation can be run against
-//! the contract tests in this crate's `tests` folder.
+//! Each interface is a trait that uses the core's types, with one HTTP implementation. Only the
+//! implementations know the wire format, which is described in `docs/INTERFACES.md`. The contract
+//! tests in this crate's `tests` folder can be run against any implementation.
 //!
 //! # Examples
 //!
@@ -23,7 +23,7 @@
 pub use instances::{HttpInstances, InstanceBody, InstanceList, ListedInstances, split_instances};
 pub use log_store::{AppendReply, ExpiredReply, HttpLog, LogStore, RecordBatch, StreamSlice};
 
-/// What nearly every user of the crate needs.
+/// Commonly used traits and their HTTP implementations.
 pub mod prelude {
     pub use crate::{EngineControl, HttpEngine, HttpInstances, HttpLog, InstanceList, LogStore};
 }
--- a/crates/apricotwell_adapters/src/log_store.rs
+++ b/crates/apricotwell_adapters/src/log_store.rs
@@ -11,27 +11,27 @@
 use apricotwell_records::{AppendError, LogBatch, ReadError};
 use apricotwell_types::Offset;
 
-/// Largest answer to a read.
+/// Maximum size of the response to a read.
 const MAX_SLICE_BYTES: usize = 16 << 20;
 
-/// Append-only log with offsets from 1.
+/// Append-only log of streams, each with offsets from 1.
 pub trait LogStore {
     /// Appends records with consecutive offsets and returns the first one.
     ///
     /// # Errors
     ///
-    /// Fails with whether the records may have been appended all the same.
+    /// Fails when the records were not appended, or when it is unknown whether they were.
     fn append(
         &self,
         stream: &str,
         records: Vec<Vec<u8>>,
     ) -> impl Future<Output = Result<Offset, AppendError>>;
 
-    /// Reads records from `from` on, waiting up to `wait` for the first one.
+    /// Reads records starting at `from`, waiting up to `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// Fails when the records were dropped or the log does not answer.
+    /// Fails when the records have expired or the log does not respond.
     fn read(
         &self,
         stream: &str,
@@ -40,15 +40,15 @@
     ) -> impl Future<Output = Result<LogBatch, ReadError>>;
 }
 
-/// Body of an append.
+/// Wire format of an append.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecordBatch {
-    /// Records.
+    /// Encoded records.
     #[prost(bytes = "vec", repeated, tag = "1")]
     pub records: Vec<Vec<u8>>,
 }
 
-/// Answer to a read.
+/// Wire format of the response to a read.
 #[derive(Clone, PartialEq, Message)]
 pub struct StreamSlice {
     /// Offset of the first record.
@@ -57,26 +57,26 @@
     /// Offset that the next appended record will have.
     #[prost(uint64, tag = "2")]
     pub end: u64,
-    /// Records.
+    /// Encoded records.
     #[prost(bytes = "vec", repeated, tag = "3")]
     pub records: Vec<Vec<u8>>,
 }
 
-/// Answer to an append.
+/// Wire format of the response to an append.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AppendReply {
     /// Offset of the first record.
     pub first: u64,
 }
 
-/// Answer to a read of dropped records.
+/// Wire format of the response to a read of expired records.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ExpiredReply {
-    /// Offset of the first record kept.
+    /// Offset of the first record that is still stored.
     pub first: u64,
 }
 
-/// The platform's log over HTTP.
+/// Accesses the platform's log over HTTP.
 #[derive(Clone)]
 pub struct HttpLog {
     client: Client,
@@ -85,7 +85,9 @@
 }
 
 impl HttpLog {
-    /// Returns the log at `address`; each call fails after `timeout` besides the wait asked for.
+    /// Returns an adapter for the log at `address`.
+    ///
+    /// An append fails after `timeout`; a read fails after `timeout` plus its `wait`.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self {
             client: crate::control_client(),
--- a/crates/apricotwell_adapters/tests/contracts.rs
+++ b/crates/apricotwell_adapters/tests/contracts.rs
@@ -1,4 +1,4 @@
-//! What every adapter must do, run against the stand-ins through real sockets.
+//! Contract tests of the adapters, run against fake servers over real sockets.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 zone = "zone-b"
 "#;
 
-async fn faults(address: &str, body: &'static str) {
+async fn inject_faults(address: &str, body: &'static str) {
     let url = format!("http://{address}/faults");
     let request = control_client()
         .post(url)
@@ -64,55 +64,55 @@
 where
     L: LogStore,
 {
-    let none = Duration::ZERO;
+    let no_wait = Duration::ZERO;
     assert_eq!(log.append("s", vec![vec![1], vec![2]]).await, Ok(1));
     assert_eq!(log.append("s", vec![vec![3]]).await, Ok(3));
     assert_eq!(log.append("other", vec![vec![9]]).await, Ok(1));
-    let batch = log.read("s", 2, none).await.unwrap();
+    let batch = log.read("s", 2, no_wait).await.unwrap();
     assert_eq!((batch.first, batch.end), (2, 4));
     assert_eq!(batch.records, [vec![2], vec![3]]);
     assert!(batch.reaches_end());
     let empty = log.read("s", 4, Duration::from_millis(50)).await.unwrap();
     assert!(empty.records.is_empty() && empty.reaches_end());
 
-    // A read that waits gets the record that comes meanwhile.
+    // A waiting read returns a record that is appended meanwhile.
     let (batch, appended) = tokio::join!(log.read("s", 4, TIMEOUT), log.append("s", vec![vec![4]]));
     assert_eq!((batch.unwrap().records, appended), (vec![vec![4]], Ok(4)));
 
-    faults(platform, r#"{"lose_replies":1}"#).await;
+    inject_faults(platform, r#"{"lose_replies":1}"#).await;
     assert_eq!(
         log.append("s", vec![vec![5]]).await,
         Err(AppendError::Unknown)
     );
-    assert_eq!(log.read("s", 5, none).await.unwrap().records, [vec![5]]);
+    assert_eq!(log.read("s", 5, no_wait).await.unwrap().records, [vec![5]]);
 
-    faults(platform, r#"{"expire":["s",3]}"#).await;
-    assert_eq!(log.read("s", 1, none).await, Err(ReadError::Expired(3)));
-    assert_eq!(log.read("s", 3, none).await.unwrap().records.len(), 3);
+    inject_faults(platform, r#"{"expire":["s",3]}"#).await;
+    assert_eq!(log.read("s", 1, no_wait).await, Err(ReadError::Expired(3)));
+    assert_eq!(log.read("s", 3, no_wait).await.unwrap().records.len(), 3);
 
-    faults(platform, r#"{"log_down":true}"#).await;
+    inject_faults(platform, r#"{"log_down":true}"#).await;
     assert_eq!(
         log.append("s", vec![vec![6]]).await,
         Err(AppendError::NotAppended)
     );
-    assert_eq!(log.read("s", 3, none).await, Err(ReadError::Unreachable));
-    faults(platform, r#"{"log_down":false}"#).await;
-    assert_eq!(log.read("s", 3, none).await.unwrap().end, 6);
+    assert_eq!(log.read("s", 3, no_wait).await, Err(ReadError::Unreachable));
+    inject_faults(platform, r#"{"log_down":false}"#).await;
+    assert_eq!(log.read("s", 3, no_wait).await.unwrap().end, 6);
 }
 
 #[actix_web::test]
-async fn the_log_keeps_its_contract() {
+async fn http_log_fulfils_the_contract() {
     let platform = start_platform("log").await;
     log_contract(&HttpLog::new(&platform, TIMEOUT), &platform).await;
-    let nobody = HttpLog::new(&free_address(), TIMEOUT);
+    let unreachable = HttpLog::new(&free_address(), TIMEOUT);
     assert_eq!(
-        nobody.append("s", vec![vec![1]]).await,
+        unreachable.append("s", vec![vec![1]]).await,
         Err(AppendError::NotAppended)
     );
 }
 
 #[actix_web::test]
-async fn the_list_keeps_its_contract() {
+async fn http_instances_fulfils_the_contract() {
     let platform = start_platform("list").await;
     let list = HttpInstances::new(&platform, TIMEOUT);
     let listed = list.list().await.unwrap();
@@ -122,7 +122,7 @@
         (&*listed.servers[0].pool, listed.servers[0].leaving),
         ("engines", false)
     );
-    faults(&platform, r#"{"leaving":"engine-1","remove":"entry-1"}"#).await;
+    inject_faults(&platform, r#"{"leaving":"engine-1","remove":"entry-1"}"#).await;
     let listed = list.list().await.unwrap();
     assert!(listed.entries.is_empty() && listed.servers[0].leaving);
     assert_eq!(
@@ -152,7 +152,7 @@
     let incarnation = start.incarnation;
     let load = order(OrderKind::Load, 7, 50, incarnation);
     assert_eq!(engine.order(address, &load).await, OrderOutcome::Done);
-    // The same order again changes nothing.
+    // Repeating an order has no further effect.
     assert_eq!(engine.order(address, &load).await, OrderOutcome::Done);
     let report = engine.report(address).await.unwrap();
     assert_eq!(
@@ -160,28 +160,28 @@
         (7, true)
     );
 
-    let old = order(OrderKind::Load, 8, 49, incarnation);
+    let outdated = order(OrderKind::Load, 8, 49, incarnation);
     let expected = if fencing {
         OrderOutcome::Failed
     } else {
         OrderOutcome::Done
     };
-    assert_eq!(engine.order(address, &old).await, expected);
-    let other_start = order(OrderKind::Load, 9, 60, incarnation - 1);
-    assert_eq!(engine.order(address, &other_start).await, expected);
+    assert_eq!(engine.order(address, &outdated).await, expected);
+    let other_incarnation = order(OrderKind::Load, 9, 60, incarnation - 1);
+    assert_eq!(engine.order(address, &other_incarnation).await, expected);
 
-    faults(address, r#"{"lose_order_replies":1}"#).await;
+    inject_faults(address, r#"{"lose_order_replies":1}"#).await;
     let unload = order(OrderKind::Unload, 7, 70, incarnation);
     assert_eq!(engine.order(address, &unload).await, OrderOutcome::Unknown);
     let report = engine.report(address).await.unwrap();
     assert!(report.replicas.iter().all(|reported| reported.replica != 7));
     assert_eq!(engine.order(address, &unload).await, OrderOutcome::Done);
-    faults(address, r#"{"leaving":true}"#).await;
+    inject_faults(address, r#"{"leaving":true}"#).await;
     assert!(engine.report(address).await.unwrap().leaving);
 }
 
 #[actix_web::test]
-async fn engines_keep_their_contract() {
+async fn http_engine_fulfils_the_contract() {
     let platform = start_platform("engines").await;
     for fencing in [true, false] {
         let address = free_address();
--- a/crates/apricotwell_control/src/bin/apricotwell-control.rs
+++ b/crates/apricotwell_control/src/bin/apricotwell-control.rs
@@ -1,4 +1,4 @@
-//! Operators' command.
+//! Command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/crates/apricotwell_control/src/command.rs
+++ b/crates/apricotwell_control/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the tool.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 
 use crate::{Document, FleetClient, Publisher, Session};
 
-/// Operators' command: configuration, keys and status.
+/// Manage configuration, keys and status as an operator.
 ///
 /// Settings are a TOML file with platform, operator and key_file. Exit codes: 0 done, 1 failed,
-/// 2 wrong arguments.
+/// 2 invalid arguments.
 #[derive(argh::FromArgs, Debug)]
 pub struct Args {
     /// TOML file with platform, operator and key_file
@@ -39,7 +39,7 @@
     Addresses(AddressesCommand),
 }
 
-/// Make an operator's key pair.
+/// Create an operator's key pair.
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "operator")]
 struct OperatorCommand {
@@ -53,7 +53,7 @@
     New(NewOperator),
 }
 
-/// Write a new secret key to a file and print its public half.
+/// Write a new secret key to a file and print its public key.
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "new")]
 struct NewOperator {
@@ -62,7 +62,7 @@
     file: PathBuf,
 }
 
-/// Issue and withdraw callers' keys.
+/// Issue and withdraw clients' API keys.
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "key")]
 struct KeyCommand {
@@ -89,7 +89,7 @@
     name: String,
 }
 
-/// Withdraw a key and wait until it is refused everywhere.
+/// Withdraw a key and wait until all instances refuse it.
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "withdraw")]
 struct WithdrawKey {
@@ -101,17 +101,17 @@
     name: String,
 }
 
-/// Publish the values of a document that differ from those in force.
+/// Publish the values of a document that differ from the active ones.
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "publish")]
 struct PublishCommand {
     /// document with one table for each path
     #[argh(positional)]
     file: PathBuf,
-    /// wait until every instance has the changes in force, and print how long it took
+    /// wait until the changes are active on every instance, and print how long it took
     #[argh(switch)]
     wait: bool,
-    /// seconds to wait at the most
+    /// maximum number of seconds to wait
     #[argh(option, default = "9")]
     limit_s: u64,
 }
@@ -129,7 +129,7 @@
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "get")]
 struct GetCommand {
-    /// path; all when left out
+    /// path; all values if omitted
     #[argh(positional, default = "String::new()")]
     path: String,
 }
@@ -143,11 +143,11 @@
     file: PathBuf,
 }
 
-/// Print the changes at and below a path that the log still holds.
+/// Print the changes at and below a path that the log still contains.
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "history")]
 struct HistoryCommand {
-    /// path; all when left out
+    /// path; all values if omitted
     #[argh(positional, default = "String::new()")]
     path: String,
 }
@@ -156,7 +156,7 @@
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 struct StatusCommand {
-    /// address of one instance; all when left out
+    /// address of one instance; all instances if omitted
     #[argh(option)]
     instance: Option<String>,
     /// print everything as JSON
@@ -173,31 +173,31 @@
     model: String,
 }
 
-/// Print the addresses that a caller should use.
+/// Print the addresses that a client should use.
 #[derive(argh::FromArgs, Debug)]
 #[argh(subcommand, name = "addresses")]
 struct AddressesCommand {
-    /// availability zone of the caller
+    /// availability zone of the client
     #[argh(option, default = "String::new()")]
     zone: String,
-    /// organisation of the caller
+    /// organisation of the client
     #[argh(option, default = "String::new()")]
     organisation: String,
-    /// model that the caller uses
+    /// model that the client uses
     #[argh(option, default = "String::new()")]
     model: String,
 }
 
-/// Time in which a withdrawn key must be refused everywhere.
-const WITHDRAW_LIMIT: Duration = Duration::from_secs(9);
-/// Random bytes of a key.
+/// Time in which a change must be active, and a withdrawn key refused, on all instances.
+const APPLY_LIMIT: Duration = Duration::from_secs(9);
+/// Number of random bytes in an API key.
 const KEY_BYTES: usize = 24;
 
-/// Runs a command and returns what to print.
+/// Runs a command and returns its output.
 ///
 /// # Errors
 ///
-/// Fails with a text that names the remedy.
+/// Fails with a message that names the remedy.
 pub async fn run_command(args: Args) -> Result<String, String> {
     if let Command::Operator(command) = &args.command {
         let OperatorAction::New(new) = &command.action;
@@ -232,7 +232,7 @@
         .mode(0o600)
         .open(&new.file);
     let name = new.file.display();
-    let mut file = opened.map_err(|error| format!("{name}: {error}; name a new file"))?;
+    let mut file = opened.map_err(|error| format!("{name}: {error}; choose a new file"))?;
     writeln!(file, "{}", hex::encode(seed)).map_err(|error| format!("{name}: {error}"))?;
     Ok(format!("{}\n", OperatorKey::from_seed(seed).public_hex()))
 }
@@ -244,7 +244,7 @@
     let digest = KeyDigest::of_secret(&secret).to_hex();
     let path = key_path(&issue.organisation, &issue.name);
     let value = format!("digest = \"{digest}\"\n");
-    put_and_wait(session, &path, Some(value), WITHDRAW_LIMIT).await?;
+    put_and_wait(session, &path, Some(value), APPLY_LIMIT).await?;
     Ok(format!("{secret}\n"))
 }
 
@@ -256,9 +256,9 @@
         .await
         .map_err(|error| error.to_string())?;
     if !reply.values.iter().any(|value| value.value.is_some()) {
-        return Err(format!("{path} holds no key; look with `get /teams`"));
+        return Err(format!("{path} contains no key; check with `get /teams`"));
     }
-    let took = put_and_wait(session, &path, None, WITHDRAW_LIMIT).await?;
+    let took = put_and_wait(session, &path, None, APPLY_LIMIT).await?;
     Ok(format!(
         "withdrawn everywhere after {} ms\n",
         took.as_millis()
@@ -283,13 +283,13 @@
 async fn publish(session: &Session, command: &PublishCommand) -> Result<String, String> {
     let document = read_document(&command.file)?;
     let publisher = Publisher::new(session);
-    let present = publisher
+    let current = publisher
         .config("")
         .await
         .map_err(|error| error.to_string())?;
     let mut published = Vec::new();
     for (path, value) in document.values() {
-        let entry = present.values.iter().find(|entry| entry.path == path);
+        let entry = current.values.iter().find(|entry| entry.path == path);
         if entry.is_some_and(|entry| entry.value.as_deref() == Some(value)) {
             continue;
         }
@@ -313,7 +313,7 @@
 }
 
 async fn delete(session: &Session, path: &str) -> Result<String, String> {
-    let took = put_and_wait(session, path, None, WITHDRAW_LIMIT).await?;
+    let took = put_and_wait(session, path, None, APPLY_LIMIT).await?;
     Ok(format!(
         "deleted everywhere after {} ms\n",
         took.as_millis()
@@ -341,27 +341,27 @@
 async fn diff(session: &Session, file: &PathBuf) -> Result<String, String> {
     let document = read_document(file)?;
     let publisher = Publisher::new(session);
-    let present = publisher
+    let current = publisher
         .config("")
         .await
         .map_err(|error| error.to_string())?;
     let mut text = String::new();
-    for (path, wanted) in document.values() {
-        let entry = present.values.iter().find(|entry| entry.path == path);
-        let found = entry.and_then(|entry| entry.value.as_deref()).unwrap_or("");
-        if found == wanted {
+    for (path, new) in document.values() {
+        let entry = current.values.iter().find(|entry| entry.path == path);
+        let old = entry.and_then(|entry| entry.value.as_deref()).unwrap_or("");
+        if old == new {
             continue;
         }
         text.push_str(&format!("[\"{path}\"]\n"));
-        for line in found
+        for line in old
             .lines()
-            .filter(|line| !wanted.lines().any(|other| other == *line))
+            .filter(|line| !new.lines().any(|other| other == *line))
         {
             text.push_str(&format!("-{line}\n"));
         }
-        for line in wanted
+        for line in new
             .lines()
-            .filter(|line| !found.lines().any(|other| other == *line))
+            .filter(|line| !old.lines().any(|other| other == *line))
         {
             text.push_str(&format!("+{line}\n"));
         }
@@ -452,12 +452,16 @@
     )
 }
 
-// The holder knows most, so it is asked first once any instance has named it.
+// Any instance names the holder of the model's lease. The holder's own explanation is the most
+// complete one, so it is preferred if the holder responds.
 async fn explain(session: &Session, model: &str) -> Result<String, String> {
     let fleet = FleetClient::new(session);
     let path = format!("/-/explain?model={model}");
-    let mut best: serde_json::Value = fleet.query_any(&path).await?;
-    let holder = best["holder"].as_str().unwrap_or_default().to_owned();
+    let mut explanation: serde_json::Value = fleet.query_any(&path).await?;
+    let holder = explanation["holder"]
+        .as_str()
+        .unwrap_or_default()
+        .to_owned();
     for address in fleet.addresses().await? {
         let Ok(status) = fleet
             .query::<serde_json::Value>(&address, "/-/status")
@@ -466,10 +470,10 @@
             continue;
         };
         if status["instance"]["id"] == holder.as_str() {
-            best = fleet.query(&address, &path).await.unwrap_or(best);
+            explanation = fleet.query(&address, &path).await.unwrap_or(explanation);
         }
     }
-    let text = serde_json::to_string_pretty(&best);
+    let text = serde_json::to_string_pretty(&explanation);
     text.map(|text| text + "\n")
         .map_err(|error| error.to_string())
 }
@@ -492,7 +496,7 @@
 fn read_document(file: &PathBuf) -> Result<Document, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|error| format!("{name}: {error}; give the path of a document"))?;
+        .map_err(|error| format!("{name}: {error}; use the path of a document"))?;
     Document::from_toml(&name, &text).map_err(|error| error.to_string())
 }
 
--- a/crates/apricotwell_control/src/document.rs
+++ b/crates/apricotwell_control/src/document.rs
@@ -1,23 +1,23 @@
-//! Documents of configuration: one table for each path.
+//! Configuration documents: TOML files with one table for each path.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use apricotwell_state::Setting;
 
-/// Document that can't be used.
+/// Errors in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocumentError {
     file: String,
-    faults: Vec<String>,
+    errors: Vec<String>,
 }
 
 impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lines: Vec<String> = self
-            .faults
+            .errors
             .iter()
-            .map(|fault| format!("{}: {fault}", self.file))
+            .map(|error| format!("{}: {error}", self.file))
             .collect();
         f.write_str(&lines.join("\n"))
     }
@@ -25,31 +25,31 @@
 
 impl std::error::Error for DocumentError {}
 
-/// Values by path.
+/// Configuration values by path.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Document {
     values: BTreeMap<String, String>,
 }
 
 impl Document {
-    /// Parses a document and checks each value.
+    /// Parses a document and validates each value; `file` is the file name in error messages.
     ///
     /// # Errors
     ///
-    /// Fails with every fault.
+    /// Fails with a list of all invalid values.
     pub fn from_toml(file: &str, text: &str) -> Result<Self, DocumentError> {
-        let fail = |faults| DocumentError {
+        let fail = |errors| DocumentError {
             file: file.to_owned(),
-            faults,
+            errors,
         };
         let table: toml::Table = toml::from_str(text)
             .map_err(|error| fail(vec![error.to_string().trim().to_owned()]))?;
         let mut values = BTreeMap::new();
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         for (path, value) in table {
             let toml::Value::Table(value) = value else {
-                faults.push(format!(
-                    "`{path}` is no table: write [\"{path}\"] and its settings"
+                errors.push(format!(
+                    "`{path}` is not a table: write [\"{path}\"] and its settings"
                 ));
                 continue;
             };
@@ -58,17 +58,17 @@
                 Ok(_) => {
                     values.insert(path, text);
                 }
-                Err(fault) => faults.push(fault),
+                Err(error) => errors.push(error),
             }
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(Self { values })
         } else {
-            Err(fail(faults))
+            Err(fail(errors))
         }
     }
 
-    /// Returns paths and values in order of path.
+    /// Returns paths and values, sorted by path.
     pub fn values(&self) -> impl Iterator<Item = (&str, &str)> {
         self.values
             .iter()
--- a/crates/apricotwell_control/src/fleet.rs
+++ b/crates/apricotwell_control/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry instances as operators query them.
+//! Client of the entry instances' operator interface.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 
 use crate::Session;
 
-/// Time in which an instance must answer.
+/// Timeout of a request to an instance.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest answer.
+/// Maximum size of a response.
 const MAX_BODY: usize = 64 << 20;
 
-/// Configuration as one instance has it.
+/// Configuration that one instance has applied.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ConfigReply {
     /// First offset that the instance has not applied.
     pub next_offset: u64,
-    /// How far its view can be trusted.
+    /// State of the instance's view of the log.
     pub view: String,
-    /// Values at or below the path asked for.
+    /// Values at or below the requested path.
     pub values: Vec<ConfigValue>,
-    /// Latest changes without effect.
+    /// Recently rejected changes.
     pub rejections: Vec<RejectedChange>,
 }
 
-/// Value of a path.
+/// Value at a path.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ConfigValue {
     /// Path.
@@ -37,31 +37,31 @@
     pub version: u64,
     /// Number of that change.
     pub change: u64,
-    /// Operator that made it.
+    /// Operator that made the change.
     pub author: String,
-    /// TOML text; `None` once deleted.
+    /// TOML text, or `None` if the value is deleted.
     pub value: Option<String>,
 }
 
-/// Change without effect.
+/// Rejected change.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RejectedChange {
     /// Number of the change.
     pub change: u64,
-    /// Where it stands.
+    /// Offset of the change in the log.
     pub offset: u64,
-    /// Why it had no effect.
+    /// Why the change was rejected.
     pub reason: String,
 }
 
-/// Entry instances on the platform's list.
+/// Queries the entry instances on the platform's list.
 pub struct FleetClient<'a> {
     session: &'a Session,
     client: Client,
 }
 
 impl<'a> FleetClient<'a> {
-    /// Returns the fleet of a session's platform.
+    /// Returns a client for the instances of the session's platform.
     pub fn new(session: &'a Session) -> Self {
         Self {
             session,
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Returns the callers' addresses of the entry instances on the list.
+    /// Returns the client addresses of the entry instances on the list.
     ///
     /// # Errors
     ///
-    /// Fails when the platform does not answer.
+    /// Fails when the platform does not respond.
     pub async fn addresses(&self) -> Result<Vec<String>, String> {
         let list = HttpInstances::new(&self.session.platform, TIMEOUT);
         let listed = list.list().await.ok_or_else(|| {
@@ -85,11 +85,11 @@
         Ok(listed.client_addresses)
     }
 
-    /// Asks one instance.
+    /// Queries one instance.
     ///
     /// # Errors
     ///
-    /// Fails when it does not answer or refuses.
+    /// Fails when the instance does not respond or returns an error.
     pub async fn query<T>(&self, address: &str, path: &str) -> Result<T, String>
     where
         T: DeserializeOwned,
@@ -114,22 +114,22 @@
         }
     }
 
-    /// Asks instances in turn until one answers.
+    /// Queries the instances one after the other until one responds.
     ///
     /// # Errors
     ///
-    /// Fails with the last fault when none answers.
+    /// Fails with the last error if none responds.
     pub async fn query_any<T>(&self, path: &str) -> Result<T, String>
     where
         T: DeserializeOwned,
     {
-        let mut fault = "the list holds no entry instance".to_owned();
+        let mut last_error = "the platform's list contains no entry instance".to_owned();
         for address in self.addresses().await? {
             match self.query(&address, path).await {
                 Ok(reply) => return Ok(reply),
-                Err(reason) => fault = reason,
+                Err(error) => last_error = error,
             }
         }
-        Err(fault)
+        Err(last_error)
     }
 }
--- a/crates/apricotwell_control/src/lib.rs
+++ b/crates/apricotwell_control/src/lib.rs
@@ -1,7 +1,7 @@
-//! Operators' command: configuration, keys and status.
+//! Command-line tool for operators: configuration, keys and status.
 //!
-//! Changes go to the platform's log, signed with the operator's key; entry instances are asked
-//! what is in force. See `docs/operating/publishing.md`.
+//! Changes are signed with the operator's key and appended to the platform's log; entry instances
+//! report which values are active. See `docs/operating/publishing.md`.
 //!
 //! # Examples
 //!
--- a/crates/apricotwell_control/src/publish.rs
+++ b/crates/apricotwell_control/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing changes and waiting until they are in force.
+//! Publishes changes and waits until they are active.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -8,25 +8,25 @@
 
 use crate::{ConfigReply, FleetClient, Session};
 
-/// Time in which the log must answer.
+/// Timeout of a request to the log.
 const LOG_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two looks at an instance.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
-/// Appends of one change before it is given up.
-const MAX_APPENDS: u32 = 10;
+/// Delay between two queries of an instance.
+const POLL_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of attempts to append one change.
+const MAX_APPEND_ATTEMPTS: u32 = 10;
 
-/// Why a change is not in force.
+/// Reason why a change is not active.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishError {
-    /// No instance could be asked.
+    /// No instance could be queried.
     FleetClient(String),
-    /// The log took nothing.
+    /// The change was not appended to the log.
     NotPublished,
-    /// The log may have taken the change, and nobody could tell.
+    /// It is unknown whether the change was appended to the log.
     Unknown,
-    /// The change had no effect.
+    /// The change was rejected.
     Rejected(String),
-    /// The change is in force on some instances only.
+    /// The change is not yet active on these instances.
     NotEverywhere(Vec<String>),
 }
 
@@ -35,16 +35,16 @@
         match self {
             PublishError::FleetClient(reason) => f.write_str(reason),
             PublishError::NotPublished => {
-                f.write_str("the log took nothing; publish again when it is up")
+                f.write_str("the change was not appended to the log; publish it again when the log is available")
             }
             PublishError::Unknown => f.write_str(
-                "the log may have taken the change; look with `get`, and publish again if it is \
-                 not there",
+                "the change may have been appended to the log; check with `get`, and publish it again \
+                 if it is missing",
             ),
-            PublishError::Rejected(reason) => write!(f, "the change had no effect: {reason}"),
+            PublishError::Rejected(reason) => write!(f, "the change was rejected: {reason}"),
             PublishError::NotEverywhere(missing) => write!(
                 f,
-                "the change is published but not yet in force on {}; look at their `status`",
+                "the change is published but not yet active on {}; check their `status`",
                 missing.join(", ")
             ),
         }
@@ -53,7 +53,7 @@
 
 impl std::error::Error for PublishError {}
 
-/// Publishes changes of one session.
+/// Publishes changes as the operator of a session.
 pub struct Publisher<'a> {
     session: &'a Session,
     fleet: FleetClient<'a>,
@@ -61,7 +61,7 @@
 }
 
 impl<'a> Publisher<'a> {
-    /// Returns a publisher.
+    /// Returns a publisher for a session.
     pub fn new(session: &'a Session) -> Self {
         Self {
             session,
@@ -70,34 +70,36 @@
         }
     }
 
-    /// Returns the present version of a path, 0 when it never had a value.
+    /// Returns the current version of a path, or 0 if it never had a value.
     ///
     /// # Errors
     ///
-    /// Fails when no instance answers.
+    /// Fails when no instance responds.
     pub async fn version(&self, path: &str) -> Result<u64, PublishError> {
         let reply = self.config(path).await?;
         let found = reply.values.iter().find(|value| value.path == path);
         Ok(found.map_or(0, |value| value.version))
     }
 
-    /// Returns the configuration at and below a path.
+    /// Returns the configuration at and below a path, as reported by the first instance that
+    /// responds.
     ///
     /// # Errors
     ///
-    /// Fails when no instance answers.
+    /// Fails when no instance responds.
     pub async fn config(&self, path: &str) -> Result<ConfigReply, PublishError> {
         let reply = self.fleet.query_any(&config_path(path)).await;
         reply.map_err(PublishError::FleetClient)
     }
 
-    /// Appends a change on top of version `expected` and returns its offset and number.
+    /// Appends a change to version `expected` of a path and returns the change's offset and number.
     ///
-    /// After a lost answer the same record goes again: a repeat has no effect.
+    /// If the outcome of an append is unknown, the same record is appended again, which is
+    /// idempotent.
     ///
     /// # Errors
     ///
-    /// Fails when the log did not take the change, or when that can't be told.
+    /// Fails when the change was not appended, or when it is unknown whether it was.
     pub async fn put(
         &self,
         path: &str,
@@ -114,25 +116,25 @@
         };
         self.session.key.sign(&self.session.operator, &mut put);
         let record = Record::new(&self.session.operator, 0, 0, Body::Put(put)).to_bytes();
-        let mut doubtful = false;
-        for _ in 0..MAX_APPENDS {
+        let mut may_be_appended = false;
+        for _ in 0..MAX_APPEND_ATTEMPTS {
             match self.log.append(CONTROL_STREAM, vec![record.clone()]).await {
                 Ok(offset) => return Ok((offset, change)),
-                Err(AppendError::NotAppended) if !doubtful => {
+                Err(AppendError::NotAppended) if !may_be_appended => {
                     return Err(PublishError::NotPublished);
                 }
-                Err(_) => doubtful = true,
+                Err(_) => may_be_appended = true,
             }
-            tokio::time::sleep(LOOK_PAUSE * 5).await;
+            tokio::time::sleep(POLL_DELAY * 5).await;
         }
         Err(PublishError::Unknown)
     }
 
-    /// Waits until every instance on the list has a change in force; returns the time it took.
+    /// Waits until a change is active on every instance on the list; returns the time it took.
     ///
     /// # Errors
     ///
-    /// Fails when the change had no effect, or is not in force everywhere within `limit`.
+    /// Fails when the change is rejected, or is not active on all instances within `limit`.
     pub async fn wait(
         &self,
         path: &str,
@@ -140,36 +142,37 @@
         change: u64,
         limit: Duration,
     ) -> Result<Duration, PublishError> {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut missing = self
             .fleet
             .addresses()
             .await
             .map_err(PublishError::FleetClient)?;
         while !missing.is_empty() {
-            let mut still = Vec::new();
+            let mut still_missing = Vec::new();
             for address in missing {
                 let reply = self
                     .fleet
                     .query::<ConfigReply>(&address, &config_path(path))
                     .await;
                 match reply {
-                    Ok(reply) if reply.next_offset > offset => check(&reply, path, change)?,
-                    _ => still.push(address),
+                    Ok(reply) if reply.next_offset > offset => check_active(&reply, path, change)?,
+                    _ => still_missing.push(address),
                 }
             }
-            missing = still;
-            if !missing.is_empty() && began.elapsed() > limit {
+            missing = still_missing;
+            if !missing.is_empty() && started.elapsed() > limit {
                 return Err(PublishError::NotEverywhere(missing));
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_DELAY).await;
         }
-        Ok(began.elapsed())
+        Ok(started.elapsed())
     }
 }
 
-// A later change of the same path shows that this one was in force before it.
-fn check(reply: &ConfigReply, path: &str, change: u64) -> Result<(), PublishError> {
+// The instance has applied the change's offset. If the path has another change by now and this one
+// was not rejected, this one was active before it.
+fn check_active(reply: &ConfigReply, path: &str, change: u64) -> Result<(), PublishError> {
     let found = reply.values.iter().find(|value| value.path == path);
     if found.is_some_and(|value| value.change == change) {
         return Ok(());
--- a/crates/apricotwell_control/src/session.rs
+++ b/crates/apricotwell_control/src/session.rs
@@ -1,4 +1,4 @@
-//! Who the operator is and where the platform is.
+//! The operator's identity and the address of the platform.
 
 use std::fmt;
 use std::path::Path;
@@ -7,17 +7,17 @@
 
 use apricotwell_records::{OperatorKey, OperatorToken};
 
-/// Time for which a token is good.
+/// Time for which an operator token is valid.
 const TOKEN_LIFETIME_S: u64 = 300;
 
-/// Why there is no session.
+/// Reason why a session could not be created.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionError {
     /// A file can't be read.
     File(String),
-    /// The settings can't be used.
+    /// The settings file is invalid.
     Settings(String),
-    /// The key can't be used.
+    /// The key is invalid.
     Key(String),
 }
 
@@ -27,7 +27,7 @@
             SessionError::File(reason) => write!(f, "{reason}; check the path"),
             SessionError::Settings(reason) => write!(
                 f,
-                "{reason}; the settings need platform, operator and key_file"
+                "{reason}; the settings must contain platform, operator and key_file"
             ),
             SessionError::Key(reason) => f.write_str(reason),
         }
@@ -44,23 +44,23 @@
     key_file: String,
 }
 
-/// Operator with key and platform.
+/// An operator's credentials and the platform that they apply to.
 #[derive(Debug)]
 pub struct Session {
     /// Address of the platform as `ip:port`.
     pub platform: String,
-    /// Operator.
+    /// Name of the operator.
     pub operator: String,
     /// Key that signs changes.
     pub key: OperatorKey,
 }
 
 impl Session {
-    /// Reads settings and key; a relative `key_file` stands beside the settings.
+    /// Reads settings and key; a relative `key_file` is resolved against the settings' folder.
     ///
     /// # Errors
     ///
-    /// Fails when a file can't be read or used.
+    /// Fails when a file can't be read or is invalid.
     pub fn from_file(path: &Path) -> Result<Self, SessionError> {
         let text = read(path)?;
         let file: SessionFile = toml::from_str(&text).map_err(|error| {
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Returns a token that proves who asks.
+    /// Returns a signed token that authenticates the operator.
     pub fn token(&self) -> String {
         let expires = apricotwell_logging::wall_time().as_secs() + TOKEN_LIFETIME_S;
         OperatorToken::sign(&self.key, &self.operator, expires).to_text()
--- a/crates/apricotwell_entry/src/api/operators.rs
+++ b/crates/apricotwell_entry/src/api/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' interface.
+//! Operator interface: health, metrics, status and configuration.
 
 use actix_web::web::{Data, Query};
 use actix_web::{HttpRequest, HttpResponse};
@@ -8,17 +8,17 @@
 use apricotwell_records::OperatorToken;
 use apricotwell_types::Refusal;
 
-use super::guard;
-use crate::{NodeDriver, answer};
+use super::validation;
+use crate::{NodeDriver, responses};
 
-/// Answers `GET /healthz`: the process runs.
+/// Answers `GET /healthz` (liveness).
 pub(super) async fn health() -> HttpResponse {
     HttpResponse::Ok().body("ok\n")
 }
 
-/// Answers `GET /readyz`: callers may be sent here.
-pub(super) async fn ready(shell: Data<NodeDriver>) -> HttpResponse {
-    let (ready, view) = shell.look(|node, now| (node.is_ready(now), node.view(now).name()));
+/// Answers `GET /readyz`: whether the instance accepts requests.
+pub(super) async fn ready(driver: Data<NodeDriver>) -> HttpResponse {
+    let (ready, view) = driver.read(|node, now| (node.is_ready(now), node.view(now).name()));
     if ready {
         HttpResponse::Ok().body(format!("{view}\n"))
     } else {
@@ -27,24 +27,24 @@
 }
 
 /// Answers `GET /metrics`.
-pub(super) async fn metrics(shell: Data<NodeDriver>) -> HttpResponse {
-    let (open, ready, age) = shell.look(|node, now| {
+pub(super) async fn metrics(driver: Data<NodeDriver>) -> HttpResponse {
+    let (open, ready, age) = driver.read(|node, now| {
         let status = node.status(now).instance;
         (status.requests, status.ready, status.contact_ms)
     });
     let age = age.map(|age| age as f64 / 1000.0);
-    shell.metrics().note_state(open, ready, age);
+    driver.metrics().set_state(open, ready, age);
     HttpResponse::Ok()
         .content_type("application/openmetrics-text; version=1.0.0; charset=utf-8")
-        .body(shell.metrics().encode())
+        .body(driver.metrics().encode())
 }
 
 /// Answers `GET /-/status`.
-pub(super) async fn status(shell: Data<NodeDriver>, request: HttpRequest) -> HttpResponse {
-    if let Err(refusal) = check_operator(&shell, &request) {
-        return answer::refuse(&refusal);
+pub(super) async fn status(driver: Data<NodeDriver>, request: HttpRequest) -> HttpResponse {
+    if let Err(refusal) = check_operator(&driver, &request) {
+        return responses::refusal(&refusal);
     }
-    HttpResponse::Ok().json(shell.look(|node, now| node.status(now)))
+    HttpResponse::Ok().json(driver.read(|node, now| node.status(now)))
 }
 
 #[derive(Deserialize)]
@@ -52,16 +52,16 @@
     model: String,
 }
 
-/// Answers `GET /-/explain`.
+/// Answers `GET /-/explain`: why a model is or is not loaded.
 pub(super) async fn explain(
-    shell: Data<NodeDriver>,
+    driver: Data<NodeDriver>,
     request: HttpRequest,
     query: Query<ExplainQuery>,
 ) -> HttpResponse {
-    if let Err(refusal) = check_operator(&shell, &request) {
-        return answer::refuse(&refusal);
+    if let Err(refusal) = check_operator(&driver, &request) {
+        return responses::refusal(&refusal);
     }
-    HttpResponse::Ok().json(shell.look(|node, now| node.explain(now, &query.model)))
+    HttpResponse::Ok().json(driver.read(|node, now| node.explain(now, &query.model)))
 }
 
 #[derive(Deserialize)]
@@ -81,14 +81,14 @@
 
 /// Answers `GET /-/config`: the values at or below a path.
 pub(super) async fn config(
-    shell: Data<NodeDriver>,
+    driver: Data<NodeDriver>,
     request: HttpRequest,
     query: Query<ConfigQuery>,
 ) -> HttpResponse {
-    if let Err(refusal) = check_operator(&shell, &request) {
-        return answer::refuse(&refusal);
+    if let Err(refusal) = check_operator(&driver, &request) {
+        return responses::refusal(&refusal);
     }
-    let reply = shell.look(|node, now| {
+    let reply = driver.read(|node, now| {
         let prefix = query.path.trim_end_matches('/');
         let is_below = |path: &str| {
             path.strip_prefix(prefix)
@@ -120,12 +120,13 @@
     HttpResponse::Ok().json(reply)
 }
 
-// Any registered operator may look; what one may change is decided by the fold.
-fn check_operator(shell: &NodeDriver, request: &HttpRequest) -> Result<(), Refusal> {
-    let token = guard::header(request, "x-operator").and_then(OperatorToken::from_text);
+// Any registered operator may read. Permission to change values is checked when the state applies a
+// change.
+fn check_operator(driver: &NodeDriver, request: &HttpRequest) -> Result<(), Refusal> {
+    let token = validation::header(request, "x-operator").and_then(OperatorToken::from_text);
     let now_s = apricotwell_logging::wall_time().as_secs();
     let known = token.and_then(|token| {
-        let key = shell.look(|node, _| node.state().operator_key(&token.name))?;
+        let key = driver.read(|node, _| node.state().operator_key(&token.name))?;
         token.verify(&key, now_s).ok()
     });
     known.ok_or_else(|| {
--- a/crates/apricotwell_entry/src/bin/apricotwell-entry.rs
+++ b/crates/apricotwell_entry/src/bin/apricotwell-entry.rs
@@ -5,11 +5,11 @@
 
 use apricotwell_entry::{Settings, run_daemon};
 
-/// Entry daemon: serves callers and takes part in the fleet's decisions.
+/// Entry daemon: serves clients and takes part in the fleet's coordination.
 ///
 /// Settings are described in docs/SETTINGS.md. The first SIGTERM or SIGINT drains the instance, a
-/// second one ends it at once. Exit codes: 0 drained, 1 could not run, 2 wrong arguments, 3
-/// settings that can't be used.
+/// second one stops it immediately. Exit codes: 0 drained, 1 could not run, 2 invalid arguments, 3
+/// invalid settings.
 #[derive(argh::FromArgs)]
 struct Args {
     /// TOML file with the settings
@@ -20,7 +20,7 @@
     check: bool,
 }
 
-const BAD_SETTINGS: u8 = 3;
+const INVALID_SETTINGS: u8 = 3;
 
 #[actix_web::main]
 async fn main() -> ExitCode {
@@ -29,7 +29,7 @@
         Ok(settings) => settings,
         Err(message) => {
             eprintln!("apricotwell-entry: {message}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if args.check {
@@ -48,6 +48,6 @@
 fn load(path: &PathBuf) -> Result<Settings, String> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
-        .map_err(|error| format!("{name}: {error}; give the path of a settings file"))?;
+        .map_err(|error| format!("{name}: {error}; use the path of a settings file"))?;
     Settings::from_toml(&name, &text).map_err(|error| error.to_string())
 }
--- a/crates/apricotwell_entry/src/daemon.rs
+++ b/crates/apricotwell_entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a whole.
+//! Startup, main loop and shutdown of the daemon.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,18 +20,18 @@
 use apricotwell_peers::{LinkSecret, PeerLinks, listen};
 use apricotwell_timeline::{Event, EventKind};
 
-use crate::relay::Clients;
+use crate::relay::HttpClients;
 use crate::streams;
-use crate::{NodeDriver, Settings, api, control};
+use crate::{NodeDriver, Settings, api, tasks};
 
-/// Time in which refused requests get their answers at a forced end.
-const FAREWELL: Duration = Duration::from_millis(1500);
-/// Time in which an engine must answer a report.
+/// Time for sending the responses of aborted requests at a forced shutdown.
+const ABORT_GRACE: Duration = Duration::from_millis(1500);
+/// Timeout of a request for an engine's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time between two looks at whether the instance is drained.
-const DRAIN_CHECK: Duration = Duration::from_millis(100);
+/// Interval at which draining is checked for completion.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why the daemon could not run.
+/// Reason why the daemon could not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DaemonError {
     /// Logging or the event file could not be set up.
@@ -40,7 +40,7 @@
     Listen,
     /// The link secret can't be used.
     Secret,
-    /// Serving callers failed.
+    /// Serving clients failed.
     Serve,
 }
 
@@ -48,9 +48,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             DaemonError::Logs => "logs can't be set up: check [logs]",
-            DaemonError::Listen => "an address can't be bound: check [instance] and who uses it",
+            DaemonError::Listen => {
+                "an address can't be bound: check [instance] and whether it is in use"
+            }
             DaemonError::Secret => "the link secret can't be used: check [fleet]",
-            DaemonError::Serve => "serving callers failed: see the log",
+            DaemonError::Serve => "serving clients failed: see the log",
         })
     }
 }
@@ -61,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// Fails when a part can't be set up.
+/// Fails when logs, secret, addresses or signal handlers can't be set up, or when serving fails.
 pub async fn run_daemon(settings: Settings) -> Result<(), Report<DaemonError>> {
     let id = settings.instance.id.clone();
     apricotwell_logging::init(&id, &settings.logs.level).change_context(DaemonError::Logs)?;
@@ -76,20 +78,20 @@
 
     let incarnation = wall_time().as_micros() as u64;
     let node = Node::new(Instant::now(), wall_time(), settings.node(incarnation));
-    let (io, actions) = mpsc::unbounded_channel();
-    let shell = Arc::new(NodeDriver::new(node, settings.clone(), events, io));
-    shell.write_event(Event::new(EventKind::ProcessStarted));
+    let (sender, actions) = mpsc::unbounded_channel();
+    let driver = Arc::new(NodeDriver::new(node, settings.clone(), events, sender));
+    driver.write_event(Event::new(EventKind::ProcessStarted));
 
-    start_tasks(&shell, &settings, secret, peers, actions);
-    let server = start_server(&shell, &settings)?;
+    start_tasks(&driver, &settings, secret, peers, actions);
+    let server = start_server(&driver, &settings)?;
     let handle = server.handle();
     let serving = spawn_local(server);
-    info!("{id} listens on {}", settings.caller_address());
+    info!("{id} listens on {}", settings.client_address());
 
     wait_for_signal(&mut terminate, &mut interrupt).await;
-    drain(&shell, &settings, &mut terminate, &mut interrupt).await;
+    drain(&driver, &settings, &mut terminate, &mut interrupt).await;
     handle.stop(false).await;
-    shell.write_event(Event::new(EventKind::ProcessStopped));
+    driver.write_event(Event::new(EventKind::ProcessStopped));
     match serving.await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(error)) => Err(Report::new(error).change_context(DaemonError::Serve)),
@@ -98,7 +100,7 @@
 }
 
 fn start_tasks(
-    shell: &Arc<NodeDriver>,
+    driver: &Arc<NodeDriver>,
     settings: &Settings,
     secret: LinkSecret,
     peers: TcpListener,
@@ -106,48 +108,48 @@
 ) {
     let timeout = Duration::from_millis(settings.platform.timeout_ms);
     let log = HttpLog::new(&settings.platform.address, timeout);
-    let list = HttpInstances::new(&settings.platform.address, timeout);
+    let instances = HttpInstances::new(&settings.platform.address, timeout);
     let order_timeout = Duration::from_millis(settings.coordination.order_timeout_ms);
     let engine = HttpEngine::new(order_timeout, REPORT_TIMEOUT);
     let links = PeerLinks::new(secret.clone());
-    let receiver = shell.clone();
-    let deliver = move |envelope| receiver.tell(|node, now| node.on_message(now, envelope));
+    let peer_driver = driver.clone();
+    let deliver = move |envelope| peer_driver.update(|node, now| node.on_message(now, envelope));
     spawn_local(listen(peers, secret, deliver));
-    spawn_local(control::follow_list(shell.clone(), list));
-    spawn_local(control::follow_log(shell.clone(), log.clone()));
-    spawn_local(control::carry_out(
-        shell.clone(),
+    spawn_local(tasks::poll_instances(driver.clone(), instances));
+    spawn_local(tasks::follow_log(driver.clone(), log.clone()));
+    spawn_local(tasks::execute_actions(
+        driver.clone(),
         actions,
         links,
         log,
         engine,
     ));
-    spawn_local(control::tick(shell.clone()));
+    spawn_local(tasks::tick(driver.clone()));
 }
 
 fn start_server(
-    shell: &Arc<NodeDriver>,
+    driver: &Arc<NodeDriver>,
     settings: &Settings,
 ) -> Result<actix_web::dev::Server, Report<DaemonError>> {
-    let data = Data::from(shell.clone());
-    let progress = Duration::from_millis(settings.requests.progress_ms);
-    let stalled = Duration::from_millis(settings.callers.stalled_caller_ms);
-    let watched = shell.clone();
+    let data = Data::from(driver.clone());
+    let progress_timeout = Duration::from_millis(settings.requests.progress_ms);
+    let client_timeout = Duration::from_millis(settings.callers.stalled_caller_ms);
+    let sweep_driver = driver.clone();
     let app = move || {
-        let watched = watched.clone();
+        let sweep_driver = sweep_driver.clone();
         spawn_local(async move {
             let mut period = interval(streams::SWEEP_PERIOD);
             loop {
                 period.tick().await;
-                if watched.is_ending() {
-                    streams::end_all();
+                if sweep_driver.is_aborting() {
+                    streams::abort_all();
                 }
-                streams::sweep(Instant::now(), progress, stalled);
+                streams::sweep(Instant::now(), progress_timeout, client_timeout);
             }
         });
         App::new()
             .app_data(data.clone())
-            .app_data(Data::new(Clients::new()))
+            .app_data(Data::new(HttpClients::new()))
             .configure(api::configure)
     };
     let server = HttpServer::new(app)
@@ -156,7 +158,7 @@
         .client_request_timeout(Duration::from_millis(settings.callers.head_timeout_ms))
         .keep_alive(Duration::from_secs(75))
         .disable_signals()
-        .bind(settings.caller_address())
+        .bind(settings.client_address())
         .change_context(DaemonError::Listen)?;
     Ok(server.run())
 }
@@ -168,34 +170,36 @@
     }
 }
 
-// First the look-up leaves this instance out; it accepts until callers' answers have lapsed and
-// ends once it is drained. A second signal or the limit ends it with what is known.
+// From now on the address lookup omits this instance. Requests are accepted until the lookup
+// results that clients hold have expired; then the instance stops once it is drained. A second
+// signal or the drain limit aborts the remaining requests with their known outcomes.
 async fn drain(
-    shell: &Arc<NodeDriver>,
+    driver: &Arc<NodeDriver>,
     settings: &Settings,
     terminate: &mut Signal,
     interrupt: &mut Signal,
 ) {
-    info!("leaving: requests are accepted until look-ups have lapsed");
-    shell.tell(|node, now| node.leave(now));
+    info!("draining: requests are accepted until lookup results have expired");
+    driver.update(|node, now| node.leave(now));
     let lifetime = Duration::from_millis(settings.shutdown.lookup_lifetime_ms);
     let limit = Duration::from_millis(settings.shutdown.drain_limit_ms);
     let drained = async {
         sleep(lifetime).await;
-        while !shell.look(|node, _| node.is_drained()) {
-            sleep(DRAIN_CHECK).await;
+        while !driver.read(|node, _| node.is_drained()) {
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
     };
     tokio::select! {
         () = drained => info!("drained"),
-        () = sleep(limit.max(lifetime)) => end_requests(shell, "the drain limit has passed").await,
-        () = wait_for_signal(terminate, interrupt) => end_requests(shell, "second signal").await,
+        () = sleep(limit.max(lifetime))
+            => abort_requests(driver, "the drain limit has passed").await,
+        () = wait_for_signal(terminate, interrupt) => abort_requests(driver, "second signal").await,
     }
 }
 
-async fn end_requests(shell: &Arc<NodeDriver>, reason: &str) {
-    let open = shell.look(|node, _| node.open_requests());
-    warn!("{reason}: {open} open requests are ended");
-    shell.end_all();
-    sleep(FAREWELL).await;
+async fn abort_requests(driver: &Arc<NodeDriver>, reason: &str) {
+    let open = driver.read(|node, _| node.open_requests());
+    warn!("{reason}: aborting {open} open requests");
+    driver.abort_requests();
+    sleep(ABORT_GRACE).await;
 }
--- a/crates/apricotwell_entry/src/lib.rs
+++ b/crates/apricotwell_entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! The entry daemon: callers' and operators' interfaces around one node.
+//! The entry daemon: the HTTP interfaces for clients and operators around one node.
 //!
-//! The [`NodeDriver`] owns the node behind a lock and carries out its actions; everything that decides
-//! is in `apricotwell_node`.
+//! The [`NodeDriver`] owns the node behind a lock and executes its actions. All decisions are made
+//! in `apricotwell_node`.
 //!
 //! # Examples
 //!
@@ -12,17 +12,17 @@
 //! assert!(error.to_string().contains("entry.toml"));
 //! ```
 
-mod answer;
 mod api;
-mod control;
 mod daemon;
+mod driver;
 mod metrics;
 mod parse;
 mod relay;
+mod responses;
 mod settings;
-mod shell;
 mod streams;
+mod tasks;
 
 pub use daemon::{DaemonError, run_daemon};
+pub use driver::NodeDriver;
 pub use settings::{Settings, SettingsError, settings_reference};
-pub use shell::NodeDriver;
--- a/crates/apricotwell_entry/src/metrics.rs
+++ b/crates/apricotwell_entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics; `docs/operating/metrics.md` explains each one.
+//! Metrics of the daemon; `docs/operating/metrics.md` explains each one.
 
 use std::sync::atomic::AtomicU64;
 
@@ -22,17 +22,17 @@
 pub(crate) struct Metrics {
     registry: Registry,
     requests: Counter,
-    answers: Counter,
+    responses: Counter,
     refusals: Family<RefusalLabels, Counter>,
-    retries: Counter,
-    events: Counter,
+    attempts: Counter,
+    stream_events: Counter,
     control_sent: Counter,
     control_received: Counter,
-    open: Gauge,
+    open_requests: Gauge,
     ready: Gauge,
     contact_age: Gauge<f64, AtomicU64>,
     first_byte: Histogram,
-    in_force: Histogram,
+    log_read: Histogram,
 }
 
 impl Default for Metrics {
@@ -40,32 +40,36 @@
         let mut registry = Registry::with_prefix("apricotwell");
         let metrics = Self {
             requests: Counter::default(),
-            answers: Counter::default(),
+            responses: Counter::default(),
             refusals: Family::default(),
-            retries: Counter::default(),
-            events: Counter::default(),
+            attempts: Counter::default(),
+            stream_events: Counter::default(),
             control_sent: Counter::default(),
             control_received: Counter::default(),
-            open: Gauge::default(),
+            open_requests: Gauge::default(),
             ready: Gauge::default(),
             contact_age: Gauge::default(),
             first_byte: Histogram::new(exponential_buckets(0.001, 2.0, 17)),
-            in_force: Histogram::new(exponential_buckets(0.001, 2.0, 15)),
+            log_read: Histogram::new(exponential_buckets(0.001, 2.0, 15)),
             registry: Registry::default(),
         };
         let Self {
             requests,
-            answers,
+            responses,
             refusals,
-            retries,
-            events,
+            attempts,
+            stream_events,
             ..
         } = &metrics;
         registry.register("requests", "Requests accepted", requests.clone());
-        registry.register("answers", "Whole answers passed on", answers.clone());
+        registry.register("answers", "Complete responses sent", responses.clone());
         registry.register("refusals", "Requests refused", refusals.clone());
-        registry.register("attempts", "Attempts on backend servers", retries.clone());
-        registry.register("stream_events", "Streamed events passed on", events.clone());
+        registry.register("attempts", "Attempts on backend servers", attempts.clone());
+        registry.register(
+            "stream_events",
+            "Streamed events forwarded",
+            stream_events.clone(),
+        );
         registry.register_with_unit(
             "control_sent",
             "Sent to peers",
@@ -80,12 +84,12 @@
         );
         registry.register(
             "open_requests",
-            "Requests without an end",
-            metrics.open.clone(),
+            "Open requests",
+            metrics.open_requests.clone(),
         );
         registry.register(
             "ready",
-            "1 when callers may be sent here",
+            "1 if the instance accepts requests",
             metrics.ready.clone(),
         );
         registry.register_with_unit(
@@ -96,15 +100,15 @@
         );
         registry.register_with_unit(
             "first_byte",
-            "Time from a request to the first byte of its answer",
+            "Time from a request to the first byte of its response",
             Unit::Seconds,
             metrics.first_byte.clone(),
         );
         registry.register_with_unit(
             "log_read",
-            "Time of a read of the log that brought records",
+            "Duration of log reads that returned records",
             Unit::Seconds,
-            metrics.in_force.clone(),
+            metrics.log_read.clone(),
         );
         Self {
             registry,
@@ -114,16 +118,16 @@
 }
 
 impl Metrics {
-    pub(crate) fn note_request(&self) {
+    pub(crate) fn count_request(&self) {
         self.requests.inc();
     }
 
-    pub(crate) fn note_answer(&self, events: u64) {
-        self.answers.inc();
-        self.events.inc_by(events);
+    pub(crate) fn count_response(&self, stream_events: u64) {
+        self.responses.inc();
+        self.stream_events.inc_by(stream_events);
     }
 
-    pub(crate) fn note_refusal(&self, refusal: &Refusal) {
+    pub(crate) fn count_refusal(&self, refusal: &Refusal) {
         let labels = RefusalLabels {
             code: refusal.kind.code(),
             outcome: refusal.ending.as_str(),
@@ -131,30 +135,30 @@
         self.refusals.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn note_attempt(&self) {
-        self.retries.inc();
+    pub(crate) fn count_attempt(&self) {
+        self.attempts.inc();
     }
 
-    pub(crate) fn note_first_byte(&self, seconds: f64) {
+    pub(crate) fn record_first_byte(&self, seconds: f64) {
         self.first_byte.observe(seconds);
     }
 
-    pub(crate) fn note_control_sent(&self, bytes: usize) {
+    pub(crate) fn count_control_sent(&self, bytes: usize) {
         self.control_sent.inc_by(bytes as u64);
     }
 
-    pub(crate) fn note_log_read(&self, bytes: usize, seconds: f64) {
+    pub(crate) fn record_log_read(&self, bytes: usize, seconds: f64) {
         self.control_received.inc_by(bytes as u64);
-        self.in_force.observe(seconds);
+        self.log_read.observe(seconds);
     }
 
-    pub(crate) fn note_state(&self, open: usize, ready: bool, contact_age: Option<f64>) {
-        self.open.set(open as i64);
+    pub(crate) fn set_state(&self, open_requests: usize, ready: bool, contact_age: Option<f64>) {
+        self.open_requests.set(open_requests as i64);
         self.ready.set(i64::from(ready));
         self.contact_age.set(contact_age.unwrap_or(f64::INFINITY));
     }
 
-    /// Returns the metrics as text.
+    /// Returns the metrics in the OpenMetrics text format.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
--- a/crates/apricotwell_entry/src/parse.rs
+++ b/crates/apricotwell_entry/src/parse.rs
@@ -1,4 +1,4 @@
-//! Requests of the OpenAI-compatible interface, as far as apricotwell reads them.
+//! Parsing of OpenAI-compatible completion requests, limited to the fields that apricotwell uses.
 
 use std::borrow::Cow;
 
@@ -8,28 +8,28 @@
 
 use apricotwell_types::{Refusal, RefusalKind, Tokens};
 
-/// Bytes of a prompt's JSON text that count as one token.
+/// Bytes of a prompt's JSON text that are counted as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What a completion request says, besides what only the engine reads.
+/// Completion request without the fields that only the engine reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Completion {
-    /// Model as the caller names it.
+    /// Requested model, as named by the client.
     pub(crate) model: String,
-    /// Tokens that the prompt counts as.
-    pub(crate) prompt: Tokens,
-    /// Output limit over all choices.
+    /// Estimated tokens of the prompt.
+    pub(crate) prompt_tokens: Tokens,
+    /// Output limit in tokens, summed over all choices.
     pub(crate) max_output: Tokens,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub(crate) stream: bool,
-    /// Beginning of the prompt.
-    pub(crate) prompt_head: Vec<u8>,
-    /// Body for the engine: the caller's, with an output limit when it names none.
+    /// First bytes of the prompt.
+    pub(crate) prompt_prefix: Vec<u8>,
+    /// Body for the engine: the client's, with an output limit added if it has none.
     pub(crate) body: Bytes,
 }
 
 #[derive(Deserialize)]
-struct Wire<'a> {
+struct RequestBody<'a> {
     #[serde(borrow)]
     model: Option<Cow<'a, str>>,
     #[serde(borrow)]
@@ -50,61 +50,65 @@
     pub(crate) max_tokens: Tokens,
 }
 
-/// Bytes of the prompt's beginning that are kept.
-const HEAD_BYTES: usize = 512;
-/// Choices that one request may ask for.
+/// Maximum length of the prompt prefix.
+const PREFIX_BYTES: usize = 512;
+/// Maximum number of choices per request.
 const MAX_CHOICES: u64 = 128;
 
-/// Parses a body.
+/// Parses the body of a completion request.
 ///
 /// # Errors
 ///
-/// Fails with the refusal that names what is wrong.
+/// Fails with a refusal whose message names the invalid field.
 pub(crate) fn parse_completion(
     body: &Bytes,
     limits: CompletionLimits,
 ) -> Result<Completion, Refusal> {
-    let wire: Wire<'_> = serde_json::from_slice(body)
-        .map_err(|error| bad(format!("the body is no valid JSON request: {error}")))?;
-    let model = wire.model.filter(|model| !model.is_empty());
-    let model = model.ok_or_else(|| bad("`model` is missing: name one from /v1/models"))?;
-    let prompt = wire.messages.or(wire.prompt);
+    let request: RequestBody<'_> = serde_json::from_slice(body)
+        .map_err(|error| bad_request(format!("the body is not a valid JSON request: {error}")))?;
+    let model = request.model.filter(|model| !model.is_empty());
+    let model = model.ok_or_else(|| bad_request("`model` is missing: name one from /v1/models"))?;
+    let prompt = request.messages.or(request.prompt);
     let prompt = prompt
-        .ok_or_else(|| bad("`messages` or `prompt` is missing"))?
+        .ok_or_else(|| bad_request("`messages` or `prompt` is missing"))?
         .get();
-    let asked = wire.max_completion_tokens.or(wire.max_tokens);
-    let limit = asked.unwrap_or(limits.default_max_tokens);
+    let requested_limit = request.max_completion_tokens.or(request.max_tokens);
+    let limit = requested_limit.unwrap_or(limits.default_max_tokens);
     if limit == 0 || limit > limits.max_tokens {
-        let most = limits.max_tokens;
-        return Err(bad(format!("max_tokens is {limit}: give 1 to {most}")));
+        let maximum = limits.max_tokens;
+        return Err(bad_request(format!(
+            "max_tokens is {limit}: use 1 to {maximum}"
+        )));
     }
-    let choices = wire.n.unwrap_or(1).max(wire.best_of.unwrap_or(1));
+    let choices = request.n.unwrap_or(1).max(request.best_of.unwrap_or(1));
     if choices == 0 || choices > MAX_CHOICES {
-        return Err(bad(format!("n is {choices}: give 1 to {MAX_CHOICES}")));
+        return Err(bad_request(format!(
+            "n is {choices}: use 1 to {MAX_CHOICES}"
+        )));
     }
-    let head = &prompt.as_bytes()[..prompt.len().min(HEAD_BYTES)];
+    let prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
     Ok(Completion {
         model: model.into_owned(),
-        prompt: count_prompt(prompt.len()),
+        prompt_tokens: estimate_tokens(prompt.len()),
         max_output: limit * choices,
-        stream: wire.stream.unwrap_or(false),
-        prompt_head: head.to_vec(),
-        body: if asked.is_some() {
+        stream: request.stream.unwrap_or(false),
+        prompt_prefix: prefix.to_vec(),
+        body: if requested_limit.is_some() {
             body.clone()
         } else {
-            with_limit(body, limit)
+            insert_max_tokens(body, limit)
         },
     })
 }
 
-/// Returns the tokens that a prompt of so many bytes counts as.
-pub(crate) fn count_prompt(bytes: usize) -> Tokens {
+/// Estimates the tokens of a prompt from its length in bytes.
+pub(crate) fn estimate_tokens(bytes: usize) -> Tokens {
     (bytes as u64).div_ceil(BYTES_PER_TOKEN)
 }
 
-// The body is an object with at least one member, so the limit goes right behind its brace and
-// every other byte stays as it is.
-fn with_limit(body: &Bytes, limit: Tokens) -> Bytes {
+// Inserts the limit after the opening brace and leaves all other bytes unchanged. The body is known
+// to be an object with at least one member, so the comma after the limit is valid.
+fn insert_max_tokens(body: &Bytes, limit: Tokens) -> Bytes {
     let Some(brace) = body.iter().position(|byte| *byte == b'{') else {
         return body.clone();
     };
@@ -115,7 +119,7 @@
     extended.freeze()
 }
 
-fn bad(message: impl Into<String>) -> Refusal {
+fn bad_request(message: impl Into<String>) -> Refusal {
     Refusal::not_run(RefusalKind::BadRequest, message)
 }
 
--- a/crates/apricotwell_entry/src/parse_tests.rs
+++ b/crates/apricotwell_entry/src/parse_tests.rs
@@ -9,55 +9,55 @@
     max_tokens: 1000,
 };
 
-fn fault(body: &str) -> String {
+fn error_message(body: &str) -> String {
     let result = parse_completion(&Bytes::copy_from_slice(body.as_bytes()), LIMITS);
     result.unwrap_err().message
 }
 
 #[test]
-fn bad_bodies_name_what_is_wrong() {
+fn invalid_bodies_are_refused_with_a_reason() {
     let table = [
-        ("", "no valid JSON"),
-        ("[]", "no valid JSON"),
-        ("{\"model\":\"m\"", "no valid JSON"),
+        ("", "not a valid JSON request"),
+        ("[]", "not a valid JSON request"),
+        ("{\"model\":\"m\"", "not a valid JSON request"),
         ("{}", "`model` is missing"),
         (r#"{"model":""}"#, "`model` is missing"),
         (r#"{"model":"m"}"#, "`messages` or `prompt` is missing"),
         (
             r#"{"model":"m","prompt":"x","max_tokens":0}"#,
-            "give 1 to 1000",
+            "use 1 to 1000",
         ),
         (
             r#"{"model":"m","prompt":"x","max_tokens":1001}"#,
-            "give 1 to 1000",
+            "use 1 to 1000",
         ),
         (
             r#"{"model":"m","prompt":"x","max_tokens":-1}"#,
-            "no valid JSON",
+            "not a valid JSON request",
         ),
         (
             r#"{"model":"m","prompt":"x","max_tokens":1e30}"#,
-            "no valid JSON",
+            "not a valid JSON request",
         ),
         (
             r#"{"model":"m","prompt":"x","max_tokens":18446744073709551615}"#,
-            "give 1 to 1000",
+            "use 1 to 1000",
         ),
-        (r#"{"model":"m","prompt":"x","n":1000}"#, "give 1 to 128"),
+        (r#"{"model":"m","prompt":"x","n":1000}"#, "use 1 to 128"),
     ];
     for (body, expected) in table {
-        let found = fault(body);
+        let found = error_message(body);
         assert!(found.contains(expected), "{body}: {found}");
     }
 }
 
 #[test]
-fn a_limit_is_added_only_where_none_is_named() {
+fn an_output_limit_is_added_only_if_missing() {
     let body = Bytes::from_static(b" {\"model\":\"m\",\"prompt\":\"hello\",\"extra\":{\"a\":1}}");
     let parsed = parse_completion(&body, LIMITS).unwrap();
     let expected = b" {\"max_tokens\":50,\"model\":\"m\",\"prompt\":\"hello\",\"extra\":{\"a\":1}}";
     assert_eq!(parsed.body, &expected[..]);
-    assert_eq!((parsed.prompt, parsed.max_output), (2, 50));
+    assert_eq!((parsed.prompt_tokens, parsed.max_output), (2, 50));
 
     let body =
         Bytes::from_static(b"{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":7,\"n\":3}");
@@ -74,7 +74,7 @@
     })]
 
     #[test]
-    fn no_bytes_panic(body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(body in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = parse_completion(&Bytes::from(body), LIMITS).is_ok();
     }
 
--- a/crates/apricotwell_entry/src/relay.rs
+++ b/crates/apricotwell_entry/src/relay.rs
@@ -1,4 +1,4 @@
-//! Attempts on backend servers.
+//! Sends requests to backend servers and relays the responses.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,13 +15,13 @@
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
 
 use crate::NodeDriver;
-use crate::answer;
-use crate::shell::{Turn, Turns};
-use crate::streams::{AnswerStream, StreamContext};
+use crate::driver::{RequestStep, StepReceiver};
+use crate::responses;
+use crate::streams::{ResponseStream, StreamContext};
 
-/// Headers of a caller that a backend server gets; all others, keys and cookies among them, are
-/// held back.
-const PASSED_HEADERS: [&str; 7] = [
+/// Request headers that are forwarded to a backend server. All others, including API keys and
+/// cookies, are dropped.
+const FORWARDED_HEADERS: [&str; 7] = [
     "accept",
     "accept-language",
     "content-type",
@@ -30,8 +30,8 @@
     "tracestate",
     "user-agent",
 ];
-/// Headers of an answer that concern one connection only.
-const HOP_HEADERS: [&str; 7] = [
+/// Response headers that are not forwarded: they apply to one connection only, or set cookies.
+const DROPPED_HEADERS: [&str; 7] = [
     "connection",
     "content-length",
     "keep-alive",
@@ -41,136 +41,138 @@
     "upgrade",
 ];
 
-/// Clients of one thread.
+/// HTTP clients of one worker thread.
 #[derive(Clone)]
-pub(crate) struct Clients {
-    repeatable: Client,
+pub(crate) struct HttpClients {
+    pooled: Client,
     single_use: Client,
 }
 
-impl Clients {
+impl HttpClients {
     pub(crate) fn new() -> Self {
         Self {
-            repeatable: apricotwell_adapters::pooled_client(),
+            pooled: apricotwell_adapters::pooled_client(),
             single_use: apricotwell_adapters::single_use_client(),
         }
     }
 }
 
-/// Request as it goes to a backend server.
+/// Request to a backend server.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    pub(crate) prompt: Tokens,
-    // Whether the same request may be sent twice.
+    pub(crate) prompt_tokens: Tokens,
+    // Whether the request may be sent more than once.
     pub(crate) repeatable: bool,
-    // Whether a server error is the answer of a plain service rather than a failed engine.
+    // Whether a 5xx response is passed on as a plain service's answer. Otherwise it counts as a
+    // failed engine.
     pub(crate) pass_errors: bool,
 }
 
-// Drops the request from the node when its handler goes away.
-struct Pending {
-    shell: Arc<NodeDriver>,
+// Cancels the request when its handler is dropped.
+struct CancelGuard {
+    driver: Arc<NodeDriver>,
     request: RequestId,
     armed: bool,
 }
 
-impl Drop for Pending {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if self.armed {
-            self.shell.cancel(self.request);
+            self.driver.cancel(self.request);
         }
     }
 }
 
-/// Takes the turns of a request until it has an answer.
+/// Executes the steps of a request until it has a response.
 pub(crate) async fn serve(
-    shell: Arc<NodeDriver>,
-    clients: &Clients,
+    driver: Arc<NodeDriver>,
+    clients: &HttpClients,
     request: RequestId,
-    mut turns: Turns,
-    outgoing: Outgoing,
+    mut steps: StepReceiver,
+    outgoing: OutgoingRequest,
 ) -> HttpResponse {
-    let began = Instant::now();
-    let mut pending = Pending {
-        shell: shell.clone(),
+    let started = Instant::now();
+    let mut cancel_guard = CancelGuard {
+        driver: driver.clone(),
         request,
         armed: true,
     };
-    while let Some(turn) = turns.recv().await {
-        match turn {
-            Turn::Refuse(refusal) => return answer::refuse(&refusal),
-            Turn::Replay(recorded) => return answer::replay(recorded),
-            Turn::Dispatch(dispatch) => {
-                shell.metrics().note_attempt();
-                let attempted = tokio::select! {
-                    attempted = attempt(&shell, clients, &dispatch, &outgoing) => attempted,
-                    // Only a forced end gives a request a turn while it runs.
-                    Some(Turn::Refuse(refusal)) = turns.recv() => return answer::refuse(&refusal),
+    while let Some(step) = steps.recv().await {
+        match step {
+            RequestStep::Refuse(refusal) => return responses::refusal(&refusal),
+            RequestStep::Replay(recorded) => return responses::replay(recorded),
+            RequestStep::Dispatch(dispatch) => {
+                driver.metrics().count_attempt();
+                let result = tokio::select! {
+                    response = attempt(&driver, clients, &dispatch, &outgoing) => response,
+                    // Only a forced shutdown sends a step while an attempt runs.
+                    Some(RequestStep::Refuse(refusal)) = steps.recv()
+                        => return responses::refusal(&refusal),
                 };
-                match attempted {
+                match result {
                     Ok(response) => {
-                        shell
+                        driver
                             .metrics()
-                            .note_first_byte(began.elapsed().as_secs_f64());
-                        // From here on the answer itself tells the request's end.
-                        pending.armed = false;
+                            .record_first_byte(started.elapsed().as_secs_f64());
+                        // From here on the response stream reports the request's outcome.
+                        cancel_guard.armed = false;
                         return response;
                     }
-                    Err(end) => shell.attempt_ended(request, &dispatch.attempt, end),
+                    Err(outcome) => driver.finish_attempt(request, &dispatch.attempt, outcome),
                 }
             }
         }
     }
-    let message = "the instance ends; look up another address";
+    let message = "the instance is shutting down; look up another address";
     let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
-    answer::refuse(&refusal.with_ending(Ending::OutcomeUnknown))
+    responses::refusal(&refusal.with_ending(Ending::OutcomeUnknown))
 }
 
 async fn attempt(
-    shell: &Arc<NodeDriver>,
-    clients: &Clients,
+    driver: &Arc<NodeDriver>,
+    clients: &HttpClients,
     dispatch: &Dispatch,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<HttpResponse, AttemptOutcome> {
-    let response = send(shell, clients, dispatch, outgoing).await?;
+    let response = send(driver, clients, dispatch, outgoing).await?;
     check_attempt(&response, &dispatch.attempt)?;
     check_status(&response, outgoing.pass_errors)?;
-    let media = header(response.headers(), CONTENT_TYPE.as_str()).unwrap_or_default();
-    let is_events = media.starts_with("text/event-stream");
+    let content_type = header(response.headers(), CONTENT_TYPE.as_str()).unwrap_or_default();
+    let is_event_stream = content_type.starts_with("text/event-stream");
     let length = header(response.headers(), CONTENT_LENGTH.as_str());
     let length = length.and_then(|text| text.parse::<usize>().ok());
-    let limit = shell.settings().requests.max_whole_bytes;
-    if !is_events && length.is_some_and(|length| length <= limit) {
-        return whole(shell, dispatch, response, media, limit).await;
+    let limit = driver.settings().requests.max_whole_bytes;
+    if !is_event_stream && length.is_some_and(|length| length <= limit) {
+        return buffer_response(driver, dispatch, response, content_type, limit).await;
     }
     let status = response.status();
     let mut builder = HttpResponse::build(status);
     copy_headers(&response, &mut builder);
     let context = StreamContext {
-        shell: shell.clone(),
+        driver: driver.clone(),
         request: dispatch.request,
         attempt: dispatch.attempt.clone(),
-        prompt: outgoing.prompt,
+        prompt_tokens: outgoing.prompt_tokens,
         status: status.as_u16(),
-        media,
-        is_events,
-        keep: !outgoing.repeatable,
+        content_type,
+        is_event_stream,
+        store_body: !outgoing.repeatable,
     };
-    Ok(builder.streaming(AnswerStream::new(context, response)))
+    Ok(builder.streaming(ResponseStream::new(context, response)))
 }
 
 async fn send(
-    shell: &Arc<NodeDriver>,
-    clients: &Clients,
+    driver: &Arc<NodeDriver>,
+    clients: &HttpClients,
     dispatch: &Dispatch,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
 ) -> Result<ClientResponse, AttemptOutcome> {
     let client = if outgoing.repeatable {
-        &clients.repeatable
+        &clients.pooled
     } else {
         &clients.single_use
     };
@@ -182,12 +184,12 @@
     if let Some(replica) = dispatch.replica {
         request = request.insert_header(("x-apricotwell-replica", replica.to_string()));
     }
-    for name in PASSED_HEADERS {
+    for name in FORWARDED_HEADERS {
         if let Some(value) = outgoing.headers.get(name) {
             request = request.insert_header((name, value.clone()));
         }
     }
-    let limit = Duration::from_millis(shell.settings().requests.first_byte_ms);
+    let limit = Duration::from_millis(driver.settings().requests.first_byte_ms);
     match timeout(limit, request.send_body(outgoing.body.clone())).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) if apricotwell_adapters::is_unsent(&error) => {
@@ -198,10 +200,10 @@
     }
 }
 
-// An answer to another attempt must not reach this caller; its connection is closed.
+// A response to another attempt must not reach this client; its connection is closed.
 fn check_attempt(response: &ClientResponse, attempt: &str) -> Result<(), AttemptOutcome> {
     match header(response.headers(), "x-attempt-id") {
-        Some(named) if !named.is_empty() && named != attempt => {
+        Some(received) if !received.is_empty() && received != attempt => {
             Err(AttemptOutcome::Disconnected { partial: false })
         }
         _ => Ok(()),
@@ -219,15 +221,15 @@
     Ok(())
 }
 
-// Holds an answer back until it is whole, so that a broken one can be tried again.
-async fn whole(
-    shell: &Arc<NodeDriver>,
+// Buffers a response until it is complete, so that an interrupted one can be retried.
+async fn buffer_response(
+    driver: &Arc<NodeDriver>,
     dispatch: &Dispatch,
     mut response: ClientResponse,
-    media: String,
+    content_type: String,
     limit: usize,
 ) -> Result<HttpResponse, AttemptOutcome> {
-    let progress = Duration::from_millis(shell.settings().requests.progress_ms);
+    let progress = Duration::from_millis(driver.settings().requests.progress_ms);
     let read = response.body().limit(limit);
     let body = match timeout(progress, read).await {
         Ok(Ok(body)) => body,
@@ -242,28 +244,28 @@
     } else {
         Some(0)
     };
-    let stored = (body.len() <= shell.settings().requests.max_kept_bytes).then(|| body.to_vec());
+    let stored = (body.len() <= driver.settings().requests.max_kept_bytes).then(|| body.to_vec());
     let answer = StoredAnswer {
         status: status.as_u16(),
-        content_type: media,
+        content_type,
         body: stored,
     };
-    shell.metrics().note_answer(0);
-    let end = AttemptOutcome::Answered { answer, used };
-    shell.attempt_ended(dispatch.request, &dispatch.attempt, end);
+    driver.metrics().count_response(0);
+    let outcome = AttemptOutcome::Answered { answer, used };
+    driver.finish_attempt(dispatch.request, &dispatch.attempt, outcome);
     Ok(builder.body(body))
 }
 
 fn copy_headers(response: &ClientResponse, builder: &mut actix_web::HttpResponseBuilder) {
     for (name, value) in response.headers() {
-        if !is_held_back(name) {
+        if !is_dropped(name) {
             builder.append_header((name.clone(), value.clone()));
         }
     }
 }
 
-fn is_held_back(name: &HeaderName) -> bool {
-    HOP_HEADERS.contains(&name.as_str())
+fn is_dropped(name: &HeaderName) -> bool {
+    DROPPED_HEADERS.contains(&name.as_str())
 }
 
 fn header(headers: &HeaderMap, name: &str) -> Option<String> {
@@ -272,7 +274,7 @@
 }
 
 #[derive(Deserialize)]
-struct WithUsage {
+struct ResponseUsage {
     usage: Option<Usage>,
 }
 
@@ -281,8 +283,8 @@
     total_tokens: Option<Tokens>,
 }
 
-/// Returns the tokens that an answer says it used.
+/// Returns the token usage that a response body reports.
 pub(crate) fn usage_tokens(body: &[u8]) -> Option<Tokens> {
-    let parsed: WithUsage = serde_json::from_slice(body).ok()?;
+    let parsed: ResponseUsage = serde_json::from_slice(body).ok()?;
     parsed.usage?.total_tokens
 }
--- a/crates/apricotwell_entry/src/answer.rs
+++ b/crates/apricotwell_entry/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that the daemon itself gives.
+//! Responses that the daemon generates itself.
 
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
@@ -17,7 +17,7 @@
     outcome: &'static str,
 }
 
-/// Returns the body of a refusal.
+/// Returns the JSON body of a refusal.
 pub(crate) fn error_body(refusal: &Refusal) -> String {
     let error = ErrorBody {
         message: &refusal.message,
@@ -29,22 +29,22 @@
     json!({ "error": error }).to_string()
 }
 
-/// Returns the answer to a refused request.
-pub(crate) fn refuse(refusal: &Refusal) -> HttpResponse {
+/// Returns the response to a refused request.
+pub(crate) fn refusal(refusal: &Refusal) -> HttpResponse {
     let status = StatusCode::from_u16(refusal.kind.status());
     let mut response = HttpResponse::build(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     response
         .content_type("application/json")
         .insert_header(("x-outcome", refusal.ending.as_str()));
     if let Some(after) = refusal.retry_after {
-        // Whole seconds, rounded up: a caller that comes back at that time must not be early.
+        // Whole seconds, rounded up, so that a client that retries then is not too early.
         let seconds = after.as_millis().div_ceil(1000).max(1);
         response.insert_header(("retry-after", seconds.to_string()));
     }
     response.body(error_body(refusal))
 }
 
-/// Returns the recorded answer to a repeat.
+/// Returns the recorded answer to a repeated request.
 pub(crate) fn replay(answer: RecordedAnswer) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     HttpResponse::build(status)
--- a/crates/apricotwell_entry/src/settings.rs
+++ b/crates/apricotwell_entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, read from TOML and checked whole at start.
+//! Settings of the daemon, read from a TOML file and validated at startup.
 
 mod reference;
 
@@ -21,55 +21,55 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The instance itself.
+    /// This instance.
     pub instance: InstanceSection,
-    /// What all instances of the fleet must be set to alike.
+    /// Settings that must be equal on all instances of the fleet.
     pub fleet: FleetSection,
-    /// The platform.
+    /// Access to the platform.
     pub platform: PlatformSection,
-    /// Limits on callers.
+    /// Limits on clients.
     #[serde(default)]
     pub callers: CallersSection,
-    /// Times of the request path.
+    /// Timeouts and limits of requests.
     #[serde(default)]
     pub requests: RequestsSection,
-    /// Times of coordination.
+    /// Timing of the coordination between instances.
     #[serde(default)]
     pub coordination: CoordinationSection,
-    /// Shutdown.
+    /// Timing of the shutdown.
     #[serde(default)]
     pub shutdown: ShutdownSection,
-    /// Logs and events.
+    /// Log level and event file.
     #[serde(default)]
     pub logs: LogsSection,
 }
 
-/// The instance itself.
+/// This instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSection {
-    /// Name, as on the platform's list.
+    /// Name of the instance, as on the platform's list.
     pub id: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for callers.
+    /// Address for clients as `ip:port`.
     pub caller_address: String,
-    /// Address for peers.
+    /// Address for other instances as `ip:port`.
     pub peer_address: String,
-    /// Threads that serve callers.
+    /// Number of threads that serve clients.
     #[serde(default = "one")]
     pub workers: usize,
 }
 
-/// What all instances of the fleet must be set to alike.
+/// Settings that must be equal on all instances of the fleet.
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSection {
     /// Public key of the root operator.
     pub root_key: String,
-    /// Secret that instances prove to each other.
+    /// Shared secret by which instances authenticate each other.
     pub link_secret: String,
-    /// Number of duty shards.
+    /// Number of shards that coordination work is split into.
     #[serde(default = "default_shards")]
     pub shards: u32,
 }
@@ -83,42 +83,42 @@
     }
 }
 
-/// The platform.
+/// Access to the platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSection {
-    /// Address of log and list.
+    /// Address of the platform's log and instance list as `ip:port`.
     pub address: String,
-    /// Time in which a call must be answered.
+    /// Timeout of a request to the platform, in milliseconds.
     #[serde(default = "default_platform_timeout")]
     pub timeout_ms: u64,
-    /// Time between two looks at the list.
+    /// Interval at which the instance list is polled, in milliseconds.
     #[serde(default = "default_list_period")]
     pub list_period_ms: u64,
-    /// How long the log keeps records.
+    /// Retention of the log's records, in seconds.
     #[serde(default = "default_retention")]
     pub retention_s: u64,
 }
 
-/// Limits on callers.
+/// Limits on clients.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallersSection {
-    /// Largest body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Time in which a request's head must have come.
+    /// Timeout for receiving a request's head.
     pub head_timeout_ms: u64,
-    /// Time in which a request's body must have come.
+    /// Timeout for receiving a request's body.
     pub body_timeout_ms: u64,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Requests that wait on this instance.
+    /// Maximum number of requests that wait on this instance.
     pub max_waiting: usize,
-    /// Output limit of a request that names none.
+    /// Output limit, in tokens, of a request that sets none.
     pub default_max_tokens: u64,
-    /// Largest output limit.
+    /// Maximum output limit in tokens.
     pub max_tokens: u64,
-    /// Time without reading after which a caller's stream is given up.
+    /// Timeout after which a stream is closed because its client does not read.
     pub stalled_caller_ms: u64,
 }
 
@@ -137,29 +137,29 @@
     }
 }
 
-/// Times of the request path.
+/// Timeouts and limits of requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestsSection {
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline_ms: u64,
-    /// Longest deadline.
+    /// Maximum deadline that a request may set.
     pub max_deadline_ms: u64,
-    /// Time in which a backend server must begin its answer.
+    /// Timeout for the first byte of a backend server's response.
     pub first_byte_ms: u64,
-    /// Time between two pieces of an answer.
+    /// Maximum time between two chunks of a response.
     pub progress_ms: u64,
-    /// Attempts per request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Longest wait for tokens.
+    /// Maximum wait for rate limit tokens.
     pub token_wait_ms: u64,
-    /// Longest wait for a claim.
+    /// Maximum wait for an idempotency claim.
     pub claim_wait_ms: u64,
-    /// How long claims are kept.
+    /// Retention of idempotency claims, in seconds.
     pub claim_memory_s: u64,
-    /// Largest answer kept for repeats.
+    /// Maximum size of an answer that is stored for repeated requests.
     pub max_kept_bytes: usize,
-    /// Largest answer that is held back until it is whole.
+    /// Maximum size of a response that is buffered until it is complete.
     pub max_whole_bytes: usize,
 }
 
@@ -180,33 +180,34 @@
     }
 }
 
-/// Times of coordination.
+/// Timing of the coordination between instances.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CoordinationSection {
-    /// How long evidence on the log counts.
+    /// Time for which evidence of contact with the log stays valid.
     pub window_ms: u64,
-    /// How long keys are honoured while the log is out and not every instance can be asked.
+    /// Time for which keys are accepted while the log is unavailable and some instance can't be
+    /// reached.
     pub key_grace_ms: u64,
     /// Term of token grants.
     pub token_term_ms: u64,
-    /// Time between two probes.
+    /// Interval between membership probes.
     pub probe_period_ms: u64,
-    /// Time in which a probe must be answered.
+    /// Timeout of a membership probe.
     pub probe_timeout_ms: u64,
-    /// Time in which a suspected instance can refute.
+    /// Time in which a suspected instance can refute the suspicion.
     pub suspicion_ms: u64,
-    /// Time between two reports from a server.
+    /// Interval at which a backend server's report is requested.
     pub report_period_ms: u64,
-    /// Time without an answer after which a server counts as gone.
+    /// Time without a response after which a backend server is recorded as gone.
     pub server_timeout_ms: u64,
-    /// Time after which an undetermined load is no longer counted on.
+    /// Time after which a load of unknown outcome is no longer expected to complete.
     pub load_timeout_ms: u64,
-    /// Time in which an order must be answered.
+    /// Timeout of an order to an engine.
     pub order_timeout_ms: u64,
-    /// Time between two messages of demand.
+    /// Interval between demand messages.
     pub demand_period_ms: u64,
-    /// Records after which a checkpoint is written.
+    /// Number of log records after which a checkpoint is written.
     pub checkpoint_records: u64,
 }
 
@@ -230,13 +231,13 @@
     }
 }
 
-/// Shutdown.
+/// Timing of the shutdown.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ShutdownSection {
-    /// Lifetime of an address look-up; a leaving instance accepts that long.
+    /// Lifetime of an address lookup's result; a draining instance accepts requests for this time.
     pub lookup_lifetime_ms: u64,
-    /// Time after which open requests are ended.
+    /// Time after which open requests are aborted.
     pub drain_limit_ms: u64,
 }
 
@@ -249,13 +250,13 @@
     }
 }
 
-/// Logs and events.
+/// Log level and event file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogsSection {
-    /// Least level that is logged.
+    /// Minimum level of logged messages.
     pub level: String,
-    /// File of timeline events.
+    /// File for timeline events; none are written when unset.
     pub events: Option<PathBuf>,
 }
 
@@ -268,20 +269,20 @@
     }
 }
 
-/// Settings that can't be used.
+/// Errors in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     file: String,
-    faults: Vec<String>,
+    errors: Vec<String>,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, fault) in self.faults.iter().enumerate() {
+        for (index, error) in self.errors.iter().enumerate() {
             if index > 0 {
                 f.write_str("\n")?;
             }
-            write!(f, "{}: {fault}", self.file)?;
+            write!(f, "{}: {error}", self.file)?;
         }
         Ok(())
     }
@@ -290,15 +291,15 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Parses and checks settings; `file` names them in errors.
+    /// Parses and validates settings; `file` is the file name in error messages.
     ///
     /// # Errors
     ///
-    /// Fails with every fault: key, value, what is allowed, and what to do.
+    /// Fails with a list of all invalid settings: key, value, allowed values and remedy.
     pub fn from_toml(file: &str, text: &str) -> Result<Self, SettingsError> {
-        let fail = |faults| SettingsError {
+        let fail = |errors| SettingsError {
             file: file.to_owned(),
-            faults,
+            errors,
         };
         let settings: Settings = toml::from_str(text).map_err(|error| {
             fail(vec![format!(
@@ -306,20 +307,20 @@
                 error.to_string().trim()
             )])
         })?;
-        let faults = settings.faults();
-        if faults.is_empty() {
+        let errors = settings.validate();
+        if errors.is_empty() {
             Ok(settings)
         } else {
-            Err(fail(faults))
+            Err(fail(errors))
         }
     }
 
-    /// Returns the address for callers.
-    pub fn caller_address(&self) -> &str {
+    /// Returns the address for clients.
+    pub fn client_address(&self) -> &str {
         &self.instance.caller_address
     }
 
-    /// Returns the settings of the node.
+    /// Converts to the settings of the node.
     pub fn node(&self, incarnation: Incarnation) -> NodeSettings {
         let times = &self.coordination;
         NodeSettings {
@@ -357,16 +358,16 @@
         }
     }
 
-    fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        self.check_addresses(&mut faults);
-        self.check_fleet(&mut faults);
-        self.check_times(&mut faults);
-        self.check_limits(&mut faults);
-        faults
+    fn validate(&self) -> Vec<String> {
+        let mut errors = Vec::new();
+        self.check_addresses(&mut errors);
+        self.check_fleet(&mut errors);
+        self.check_times(&mut errors);
+        self.check_limits(&mut errors);
+        errors
     }
 
-    fn check_addresses(&self, faults: &mut Vec<String>) {
+    fn check_addresses(&self, errors: &mut Vec<String>) {
         let addresses = [
             ("instance.caller_address", &self.instance.caller_address),
             ("instance.peer_address", &self.instance.peer_address),
@@ -374,8 +375,8 @@
         ];
         for (key, value) in addresses {
             if value.parse::<SocketAddr>().is_err() {
-                faults.push(format!(
-                    "{key} = \"{value}\" is no address: give an IP number and a port, such as \
+                errors.push(format!(
+                    "{key} = \"{value}\" is not an address: use an IP address and a port, such as \
                      10.0.0.7:8080"
                 ));
             }
@@ -385,37 +386,37 @@
             ("instance.zone", &self.instance.zone),
         ] {
             if value.is_empty() || value.contains('/') {
-                faults.push(format!(
-                    "{key} = \"{value}\" is no name: give one without / that is not empty"
+                errors.push(format!(
+                    "{key} = \"{value}\" is not a name: use a non-empty name without /"
                 ));
             }
         }
         if self.instance.workers == 0 {
-            faults.push("instance.workers = 0: give at least 1".to_owned());
+            errors.push("instance.workers = 0: use at least 1".to_owned());
         }
     }
 
-    fn check_fleet(&self, faults: &mut Vec<String>) {
+    fn check_fleet(&self, errors: &mut Vec<String>) {
         let key = &self.fleet.root_key;
         if key.len() != 64 || !key.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            faults.push(
-                "fleet.root_key is no public key: give the 64 hexadecimal digits that \
+            errors.push(
+                "fleet.root_key is not a public key: use the 64 hexadecimal digits that \
                  `apricotwell-control operator new` prints"
                     .to_owned(),
             );
         }
         if LinkSecret::new(&self.fleet.link_secret).is_err() {
-            faults.push("fleet.link_secret is too short: give at least 16 bytes".to_owned());
+            errors.push("fleet.link_secret is too short: use at least 16 bytes".to_owned());
         }
         if !(1..=65_536).contains(&self.fleet.shards) {
             let shards = self.fleet.shards;
-            faults.push(format!(
-                "fleet.shards = {shards}: give 1 to 65536, alike everywhere"
+            errors.push(format!(
+                "fleet.shards = {shards}: use 1 to 65536, the same on all instances"
             ));
         }
     }
 
-    fn check_times(&self, faults: &mut Vec<String>) {
+    fn check_times(&self, errors: &mut Vec<String>) {
         let times = &self.coordination;
         let positive = [
             ("platform.timeout_ms", self.platform.timeout_ms),
@@ -444,40 +445,40 @@
         ];
         for (key, value) in positive {
             if value == 0 {
-                faults.push(format!("{key} = 0: give a value above 0"));
+                errors.push(format!("{key} = 0: use a value above 0"));
             }
         }
         if times.window_ms < 4 * times.probe_period_ms {
-            faults.push(format!(
-                "coordination.window_ms = {}: give at least 4 times probe_period_ms, or an outage \
-                 can't be told from being cut off",
+            errors.push(format!(
+                "coordination.window_ms = {}: use at least 4 times probe_period_ms, or an outage \
+                 of the log can't be distinguished from a partitioned instance",
                 times.window_ms
             ));
         }
         if self.requests.default_deadline_ms > self.requests.max_deadline_ms {
-            faults.push(
+            errors.push(
                 "requests.default_deadline_ms is above requests.max_deadline_ms: lower it"
                     .to_owned(),
             );
         }
     }
 
-    fn check_limits(&self, faults: &mut Vec<String>) {
+    fn check_limits(&self, errors: &mut Vec<String>) {
         let callers = &self.callers;
         if callers.max_body_bytes == 0 || callers.max_waiting == 0 || callers.max_connections == 0 {
-            faults.push(
+            errors.push(
                 "callers.max_body_bytes, max_waiting and max_connections must be above 0"
                     .to_owned(),
             );
         }
         if callers.default_max_tokens == 0 || callers.default_max_tokens > callers.max_tokens {
-            faults.push(format!(
-                "callers.default_max_tokens = {}: give 1 to max_tokens = {}",
+            errors.push(format!(
+                "callers.default_max_tokens = {}: use 1 to max_tokens = {}",
                 callers.default_max_tokens, callers.max_tokens
             ));
         }
         if self.requests.max_attempts == 0 {
-            faults.push("requests.max_attempts = 0: give at least 1".to_owned());
+            errors.push("requests.max_attempts = 0: use at least 1".to_owned());
         }
     }
 }
--- a/crates/apricotwell_entry/src/streams.rs
+++ b/crates/apricotwell_entry/src/streams.rs
@@ -1,4 +1,4 @@
-//! Answers that are passed on while they come.
+//! Responses that are forwarded while they are received.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,23 +17,23 @@
 use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
 
 use crate::NodeDriver;
-use crate::answer::error_body;
 use crate::relay::usage_tokens;
+use crate::responses::error_body;
 
-/// Time between two looks at the open streams.
+/// Interval at which open streams are checked for progress.
 pub(crate) const SWEEP_PERIOD: Duration = Duration::from_millis(500);
-/// Time in which the event that tells of a failure leaves.
-const FAREWELL: Duration = Duration::from_millis(50);
-/// Mark that ends a stream of events.
-const DONE: &[u8] = b"data: [DONE]";
-/// Bytes of a stream's end that are kept to find its mark and its usage.
+/// Time for sending the error event before the connection is aborted.
+const ERROR_FLUSH_DELAY: Duration = Duration::from_millis(50);
+/// Marker at the end of an event stream.
+const DONE_MARKER: &[u8] = b"data: [DONE]";
+/// Bytes of a stream's end that are kept to find the done marker and the usage event.
 const TAIL_BYTES: usize = 4096;
 
 thread_local! {
-    static OPEN: RefCell<Vec<Weak<Inner>>> = const { RefCell::new(Vec::new()) };
+    static OPEN_STREAMS: RefCell<Vec<Weak<StreamState>>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Counts the events of a stream and finds its end.
+/// Counts the events of a stream and detects its done marker.
 #[derive(Debug, Default)]
 struct EventScanner {
     events: u64,
@@ -43,10 +43,10 @@
 
 impl EventScanner {
     fn feed(&mut self, chunk: &[u8]) {
-        let mut rest = 0;
+        let mut line_start = 0;
         for newline in memchr::memchr_iter(b'\n', chunk) {
-            // An event ends with an empty line, whose end may be written as CR LF.
-            let line = &chunk[rest..newline];
+            // An event ends with an empty line, terminated by LF or CR LF.
+            let line = &chunk[line_start..newline];
             let is_empty = line.is_empty() || line == b"\r";
             if is_empty && self.after_newline {
                 self.events += 1;
@@ -54,152 +54,154 @@
             } else {
                 self.after_newline = true;
             }
-            rest = newline + 1;
+            line_start = newline + 1;
         }
-        let left = &chunk[rest..];
-        if !left.is_empty() && left != b"\r" {
+        let remainder = &chunk[line_start..];
+        if !remainder.is_empty() && remainder != b"\r" {
             self.after_newline = false;
         }
         self.keep_tail(chunk);
     }
 
     fn keep_tail(&mut self, chunk: &[u8]) {
-        let kept = &chunk[chunk.len().saturating_sub(TAIL_BYTES)..];
-        if self.tail.len() + kept.len() > TAIL_BYTES * 4 {
+        let recent = &chunk[chunk.len().saturating_sub(TAIL_BYTES)..];
+        if self.tail.len() + recent.len() > TAIL_BYTES * 4 {
             let excess = self.tail.len().saturating_sub(TAIL_BYTES);
             self.tail.drain(..excess);
         }
-        self.tail.extend_from_slice(kept);
+        self.tail.extend_from_slice(recent);
     }
 
     fn is_done(&self) -> bool {
-        let end = &self.tail[self.tail.len().saturating_sub(64)..];
-        end.windows(DONE.len()).any(|window| window == DONE)
+        let tail = &self.tail[self.tail.len().saturating_sub(64)..];
+        tail.windows(DONE_MARKER.len())
+            .any(|window| window == DONE_MARKER)
     }
 
-    // Tokens from the usage event, or else one for each event.
-    fn tokens(&self, prompt: Tokens) -> Tokens {
+    // Returns the tokens from the usage event. Without one, counts one token for each event
+    // besides the prompt.
+    fn tokens(&self, prompt_tokens: Tokens) -> Tokens {
         let text = String::from_utf8_lossy(&self.tail);
         let mut data = text.lines().filter_map(|line| line.strip_prefix("data: "));
         let usage = data.rfind(|line| line.contains("\"usage\":{"));
         usage
             .and_then(|line| usage_tokens(line.as_bytes()))
-            .unwrap_or(prompt + self.events)
+            .unwrap_or(prompt_tokens + self.events)
     }
 }
 
-/// What a passed-on answer belongs to.
+/// Request and attempt that a forwarded response belongs to.
 pub(crate) struct StreamContext {
-    pub(crate) shell: Arc<NodeDriver>,
+    pub(crate) driver: Arc<NodeDriver>,
     pub(crate) request: RequestId,
     pub(crate) attempt: String,
-    pub(crate) prompt: Tokens,
+    pub(crate) prompt_tokens: Tokens,
     pub(crate) status: u16,
-    pub(crate) media: String,
-    pub(crate) is_events: bool,
-    // Whether the answer must be kept for repeats.
-    pub(crate) keep: bool,
+    pub(crate) content_type: String,
+    pub(crate) is_event_stream: bool,
+    // Whether the body is stored to answer repeated requests.
+    pub(crate) store_body: bool,
 }
 
-struct Inner {
+struct StreamState {
     context: StreamContext,
-    // Taken out to close the connection to the backend server.
+    // Set to `None` to close the connection to the backend server.
     payload: RefCell<Option<ClientResponse>>,
     last_poll: Cell<Instant>,
     last_data: Cell<Instant>,
-    waiting: Cell<bool>,
+    awaiting_server: Cell<bool>,
     waker: RefCell<Option<Waker>>,
-    ended: Cell<bool>,
+    closed: Cell<bool>,
 }
 
-impl Inner {
-    fn end(&self, end: AttemptOutcome) {
+impl StreamState {
+    fn close(&self, outcome: AttemptOutcome) {
         self.payload.borrow_mut().take();
-        if !self.ended.replace(true) {
+        if !self.closed.replace(true) {
             let context = &self.context;
             context
-                .shell
-                .attempt_ended(context.request, &context.attempt, end);
+                .driver
+                .finish_attempt(context.request, &context.attempt, outcome);
         }
     }
 }
 
-/// Body that passes a backend server's answer on, byte for byte.
-pub(crate) struct AnswerStream {
-    inner: Rc<Inner>,
+/// Response body that forwards a backend server's response unchanged.
+pub(crate) struct ResponseStream {
+    state: Rc<StreamState>,
     scanner: EventScanner,
-    kept: Option<Vec<u8>>,
-    // Set once an error event has been passed on. The connection is broken on purpose when it
-    // ends, so that the event has left before: a body's error drops what is not yet written.
-    farewell: Option<Pin<Box<Sleep>>>,
+    stored_body: Option<Vec<u8>>,
+    // Set once an error event has been sent. The connection is aborted after this delay rather
+    // than at once, because a body error discards data that is not yet written.
+    flush_delay: Option<Pin<Box<Sleep>>>,
 }
 
-impl AnswerStream {
+impl ResponseStream {
     pub(crate) fn new(context: StreamContext, payload: ClientResponse) -> Self {
         let now = Instant::now();
-        let kept = context.keep.then(Vec::new);
-        let inner = Rc::new(Inner {
+        let stored_body = context.store_body.then(Vec::new);
+        let state = Rc::new(StreamState {
             context,
             payload: RefCell::new(Some(payload)),
             last_poll: Cell::new(now),
             last_data: Cell::new(now),
-            waiting: Cell::new(false),
+            awaiting_server: Cell::new(false),
             waker: RefCell::new(None),
-            ended: Cell::new(false),
+            closed: Cell::new(false),
         });
-        OPEN.with_borrow_mut(|open| open.push(Rc::downgrade(&inner)));
+        OPEN_STREAMS.with_borrow_mut(|open| open.push(Rc::downgrade(&state)));
         Self {
-            inner,
+            state,
             scanner: EventScanner::default(),
-            kept,
-            farewell: None,
+            stored_body,
+            flush_delay: None,
         }
     }
 
-    fn pass(&mut self, chunk: Bytes) -> Poll<Option<io::Result<Bytes>>> {
-        if self.inner.context.is_events {
+    fn forward(&mut self, chunk: Bytes) -> Poll<Option<io::Result<Bytes>>> {
+        if self.state.context.is_event_stream {
             self.scanner.feed(&chunk);
         }
-        let limit = self.inner.context.shell.settings().requests.max_kept_bytes;
-        if let Some(kept) = &mut self.kept {
-            kept.extend_from_slice(&chunk);
-            if kept.len() > limit {
-                self.kept = None;
+        let limit = self.state.context.driver.settings().requests.max_kept_bytes;
+        if let Some(stored_body) = &mut self.stored_body {
+            stored_body.extend_from_slice(&chunk);
+            if stored_body.len() > limit {
+                self.stored_body = None;
             }
         }
         Poll::Ready(Some(Ok(chunk)))
     }
 
     fn finish(&mut self) -> Poll<Option<io::Result<Bytes>>> {
-        let context = &self.inner.context;
-        if context.is_events && !self.scanner.is_done() {
+        let context = &self.state.context;
+        if context.is_event_stream && !self.scanner.is_done() {
             return self.fail(AttemptOutcome::Disconnected { partial: true });
         }
         let used = context
-            .is_events
-            .then(|| self.scanner.tokens(context.prompt));
+            .is_event_stream
+            .then(|| self.scanner.tokens(context.prompt_tokens));
         let answer = StoredAnswer {
             status: context.status,
-            content_type: context.media.clone(),
-            body: self.kept.take(),
+            content_type: context.content_type.clone(),
+            body: self.stored_body.take(),
         };
-        context.shell.metrics().note_answer(self.scanner.events);
-        self.inner.end(AttemptOutcome::Answered { answer, used });
+        context.driver.metrics().count_response(self.scanner.events);
+        self.state.close(AttemptOutcome::Answered { answer, used });
         Poll::Ready(None)
     }
 
-    // Tells the caller in the stream that it is not whole, then breaks the connection.
-    fn fail(&mut self, end: AttemptOutcome) -> Poll<Option<io::Result<Bytes>>> {
-        let silent = matches!(end, AttemptOutcome::Stalled { .. });
-        self.inner.end(end);
-        if !self.inner.context.is_events {
-            return broken();
+    // Sends an error event that reports the truncation, then aborts the connection.
+    fn fail(&mut self, outcome: AttemptOutcome) -> Poll<Option<io::Result<Bytes>>> {
+        let stalled = matches!(outcome, AttemptOutcome::Stalled { .. });
+        self.state.close(outcome);
+        if !self.state.context.is_event_stream {
+            return aborted();
         }
-        self.farewell = Some(Box::pin(sleep(FAREWELL)));
-        let message = if silent {
-            "the backend server made no progress in time; the answer is not whole"
+        self.flush_delay = Some(Box::pin(sleep(ERROR_FLUSH_DELAY)));
+        let message = if stalled {
+            "the backend server made no progress in time; the response is incomplete"
         } else {
-            "the connection to the backend server broke; the answer is not whole"
+            "the connection to the backend server broke; the response is incomplete"
         };
         let refusal = Refusal::not_run(RefusalKind::BackendFailed, message);
         let refusal = refusal.with_ending(Ending::OutcomeUnknown);
@@ -208,22 +210,22 @@
     }
 }
 
-impl Stream for AnswerStream {
+impl Stream for ResponseStream {
     type Item = io::Result<Bytes>;
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let this = self.get_mut();
-        let inner = this.inner.clone();
+        let state = this.state.clone();
         let now = Instant::now();
-        inner.last_poll.set(now);
-        if let Some(farewell) = &mut this.farewell {
-            return match farewell.as_mut().poll(cx) {
-                Poll::Ready(()) => broken(),
+        state.last_poll.set(now);
+        if let Some(flush_delay) = &mut this.flush_delay {
+            return match flush_delay.as_mut().poll(cx) {
+                Poll::Ready(()) => aborted(),
                 Poll::Pending => Poll::Pending,
             };
         }
         let polled = {
-            let mut payload = inner.payload.borrow_mut();
+            let mut payload = state.payload.borrow_mut();
             payload
                 .as_mut()
                 .map(|payload| Pin::new(payload).poll_next(cx))
@@ -233,60 +235,63 @@
         };
         match polled {
             Poll::Ready(Some(Ok(chunk))) => {
-                inner.waiting.set(false);
-                inner.last_data.set(now);
-                this.pass(chunk)
+                state.awaiting_server.set(false);
+                state.last_data.set(now);
+                this.forward(chunk)
             }
             Poll::Ready(Some(Err(_))) => this.fail(AttemptOutcome::Disconnected { partial: true }),
             Poll::Ready(None) => this.finish(),
             Poll::Pending => {
-                inner.waiting.set(true);
-                *inner.waker.borrow_mut() = Some(cx.waker().clone());
+                state.awaiting_server.set(true);
+                *state.waker.borrow_mut() = Some(cx.waker().clone());
                 Poll::Pending
             }
         }
     }
 }
 
-impl Drop for AnswerStream {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
-        self.inner.end(AttemptOutcome::ClientGone);
+        self.state.close(AttemptOutcome::ClientGone);
     }
 }
 
-fn broken() -> Poll<Option<io::Result<Bytes>>> {
-    let error = io::Error::new(io::ErrorKind::ConnectionAborted, "the answer is not whole");
+fn aborted() -> Poll<Option<io::Result<Bytes>>> {
+    let error = io::Error::new(
+        io::ErrorKind::ConnectionAborted,
+        "the response is incomplete",
+    );
     Poll::Ready(Some(Err(error)))
 }
 
-/// Ends the streams of this thread whose backend server or caller makes no progress.
-pub(crate) fn sweep(now: Instant, progress: Duration, stalled: Duration) {
-    let open: Vec<Rc<Inner>> = OPEN.with_borrow_mut(|open| {
+/// Closes the streams of this thread whose backend server or client makes no progress.
+pub(crate) fn sweep(now: Instant, progress_timeout: Duration, client_timeout: Duration) {
+    let open: Vec<Rc<StreamState>> = OPEN_STREAMS.with_borrow_mut(|open| {
         open.retain(|stream| stream.strong_count() > 0);
         open.iter().filter_map(Weak::upgrade).collect()
     });
     for stream in open {
-        if stream.ended.get() {
+        if stream.closed.get() {
             continue;
         }
-        let waits_for_server = stream.waiting.get();
-        if waits_for_server && now >= stream.last_data.get() + progress {
-            stream.end(AttemptOutcome::Stalled { partial: true });
+        let awaits_server = stream.awaiting_server.get();
+        if awaits_server && now >= stream.last_data.get() + progress_timeout {
+            stream.close(AttemptOutcome::Stalled { partial: true });
             if let Some(waker) = stream.waker.borrow_mut().take() {
                 waker.wake();
             }
-        } else if !waits_for_server && now >= stream.last_poll.get() + stalled {
-            stream.end(AttemptOutcome::ClientGone);
+        } else if !awaits_server && now >= stream.last_poll.get() + client_timeout {
+            stream.close(AttemptOutcome::ClientGone);
         }
     }
 }
 
-/// Ends all streams of this thread, as at a forced shutdown.
-pub(crate) fn end_all() {
-    let open: Vec<Rc<Inner>> =
-        OPEN.with_borrow(|open| open.iter().filter_map(Weak::upgrade).collect());
+/// Aborts all streams of this thread, as a forced shutdown does.
+pub(crate) fn abort_all() {
+    let open: Vec<Rc<StreamState>> =
+        OPEN_STREAMS.with_borrow(|open| open.iter().filter_map(Weak::upgrade).collect());
     for stream in open {
-        stream.end(AttemptOutcome::Disconnected { partial: true });
+        stream.close(AttemptOutcome::Disconnected { partial: true });
         if let Some(waker) = stream.waker.borrow_mut().take() {
             waker.wake();
         }
--- a/crates/apricotwell_entry/src/streams_tests.rs
+++ b/crates/apricotwell_entry/src/streams_tests.rs
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn a_stream_without_its_mark_is_not_done() {
+fn a_stream_without_the_done_marker_is_not_done() {
     assert!(!scan(&["data: a\n\n"]).is_done());
     assert!(!scan(&["data: [DON"]).is_done());
 }
 
 #[test]
-fn usage_counts_before_events() {
+fn reported_usage_takes_precedence_over_counted_events() {
     let usage = "data: {\"usage\":{\"total_tokens\":42}}\n\ndata: [DONE]\n\n";
     assert_eq!(scan(&["data: a\n\n", usage]).tokens(5), 42);
     assert_eq!(scan(&["data: a\n\n", "data: b\n\n"]).tokens(5), 7);
--- a/crates/apricotwell_entry/tests/connections.rs
+++ b/crates/apricotwell_entry/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Silent, crossed and slow connections over real sockets.
+//! Stalled engines, misdirected responses, slow clients and invalid input over real sockets.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -18,7 +18,7 @@
                         body_timeout_ms = 500\nmax_body_bytes = 100000\n"
         .to_owned();
     let fleet = LocalFleet::start(options);
-    // The retry budget is one in ten requests.
+    // The retry budget allows one retry per ten requests.
     for _ in 0..12 {
         assert_eq!(fleet.chat(0, "hadegisbru", CHAT).status, 200);
     }
@@ -26,18 +26,18 @@
 }
 
 #[test]
-fn an_engine_that_goes_silent_is_given_up_and_the_request_tried_again() {
+fn a_request_to_a_stalled_engine_is_retried() {
     let fleet = fleet("silent");
     fleet.fault(fleet.engine(0), r#"{"silent":1}"#);
-    let began = Instant::now();
+    let started = Instant::now();
     let answer = fleet.chat(0, "hadegisbru", CHAT);
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(began.elapsed() >= Duration::from_millis(500));
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(started.elapsed() >= Duration::from_millis(500));
+    assert!(started.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
-fn an_answer_to_another_attempt_reaches_no_caller() {
+fn a_response_to_another_attempt_reaches_no_client() {
     let fleet = fleet("crossed");
     fleet.fault(fleet.engine(0), r#"{"cross":1}"#);
     let answer = fleet.chat(0, "hadegisbru", CHAT);
@@ -50,18 +50,18 @@
 }
 
 #[test]
-fn a_caller_that_stops_reading_does_not_hold_its_server() {
+fn a_client_that_stops_reading_does_not_occupy_its_server() {
     let fleet = fleet("stalled");
     let body = r#"{"model":"menu-writer","stream":true,"max_tokens":4096,"messages":[]}"#;
-    let long: Vec<TcpStream> = (0..3).map(|_| begin(&fleet, body)).collect();
+    let streams: Vec<TcpStream> = (0..3).map(|_| start_stream(&fleet, body)).collect();
     fleet.wait_until("streams run", |fleet| open_requests(fleet) == 3);
-    // Small buffers fill at once; nothing is read any more.
-    fleet.wait_until("streams are given up", |fleet| open_requests(fleet) == 0);
-    drop(long);
+    // The small buffers fill up immediately because nothing is read from here on.
+    fleet.wait_until("streams are closed", |fleet| open_requests(fleet) == 0);
+    drop(streams);
     assert_eq!(fleet.chat(0, "hadegisbru", CHAT).status, 200);
 }
 
-fn begin(fleet: &LocalFleet, body: &str) -> TcpStream {
+fn start_stream(fleet: &LocalFleet, body: &str) -> TcpStream {
     let mut stream = TcpStream::connect(fleet.address(0)).unwrap();
     let key = LocalFleet::key("hadegisbru");
     let head = format!(
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn bad_input_gets_its_answer_and_leaves_no_memory_behind() {
+fn invalid_input_is_refused_and_leaks_no_memory() {
     let fleet = fleet("bad-input");
     let key = LocalFleet::key("hadegisbru");
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
@@ -108,7 +108,7 @@
     };
     let table: Vec<(&str, Vec<u8>, &[u16])> = vec![
         ("oversize body", with_body(large.as_bytes()), &[413]),
-        ("oversize body announced only", format!("{auth}content-length: 999999999\r\n\r\n").into_bytes(), &[413]),
+        ("oversize body, declared only", format!("{auth}content-length: 999999999\r\n\r\n").into_bytes(), &[413]),
         ("truncated body", format!("{auth}content-length: 50\r\n\r\n{{").into_bytes(), &[408]),
         ("invalid UTF-8", with_body(b"{\"model\":\"\xff\xfe\",\"prompt\":\"x\"}"), &[400]),
         ("invalid JSON", with_body(b"{\"model\":"), &[400]),
--- a/crates/apricotwell_entry/tests/processes.rs
+++ b/crates/apricotwell_entry/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Nine instances as processes: killed, paused and started anew during loads and key changes.
+//! Nine instances as processes: killed, suspended and restarted during loads and key changes.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 const CHAT: &str = r#"{"model":"menu-writer","max_tokens":2,"messages":[]}"#;
 const NOTES: &str = r#"{"model":"proof-notes","max_tokens":2,"messages":[]}"#;
-const MORE: &str = r#"
+const EXTRA_DOCUMENT: &str = r#"
 ["/platform/pools/plain-engines"]
 kind = "engine"
 memory_mib = 48000
@@ -25,29 +25,30 @@
 "#;
 
 #[test]
-fn kills_pauses_and_key_changes_break_nothing() {
+fn the_fleet_survives_kills_suspensions_and_key_changes() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_apricotwell-entry"));
     let mut options = FleetOptions::kitchen(program, "processes");
     options.instances = 9;
     options.fencing_engines = 2;
     options.plain_engines = 2;
     options.load_ms = 300;
-    options.document.push_str(MORE);
+    options.document.push_str(EXTRA_DOCUMENT);
     options.organisations.push("haneul".to_owned());
     let mut fleet = LocalFleet::start(options);
 
-    // A first load while two instances are killed and two are paused.
+    // A model is loaded for the first time while two instances are suspended; then two more are
+    // killed.
     std::thread::scope(|scope| {
         let shared = &fleet;
-        let calls: Vec<_> = [2, 3, 4]
+        let requests: Vec<_> = [2, 3, 4]
             .into_iter()
             .map(|index| scope.spawn(move || shared.chat(index, "haneul", NOTES).status))
             .collect();
         for index in [7, 8] {
             shared.signal(index, "STOP");
         }
-        for call in calls {
-            let status = call.join().expect("an answer");
+        for request in requests {
+            let status = request.join().expect("a response");
             assert!([200, 503, 504].contains(&status), "{status}");
         }
     });
@@ -58,7 +59,7 @@
         served(fleet, CHAT) && served(fleet, NOTES)
     });
 
-    // An order goes on with most of the fleet, and its repeats meet its answer.
+    // An order succeeds with most of the fleet, and its repeats get the recorded answer.
     let key = LocalFleet::key("hadegisbru");
     let headers = [("idempotency-key", "week 1")];
     let order = |fleet: &LocalFleet, index: usize| {
@@ -80,11 +81,11 @@
         assert_eq!(order(&fleet, index), 200, "repeat at {index}");
     }
     fleet.start_instance(1);
-    fleet.wait_until("the last is back", |fleet| {
+    fleet.wait_until("the last instance is ready", |fleet| {
         fleet.get(1, "/readyz").status == 200
     });
 
-    // A withdrawn key is refused by every instance, those that were paused included.
+    // A withdrawn key is refused by all instances, including those that were suspended.
     let took = fleet.publish("/teams/hadegisbru/keys/main", None);
     assert!(took < Duration::from_secs(2), "{took:?}");
     for index in 0..9 {
@@ -124,7 +125,7 @@
     for (name, text) in fleet.outputs() {
         for organisation in ["hadegisbru", "haneul"] {
             let key = LocalFleet::key(organisation);
-            assert!(!text.contains(&key), "{name} holds a key");
+            assert!(!text.contains(&key), "{name} contains a key");
         }
     }
 }
--- a/crates/apricotwell_entry/tests/sessions.rs
+++ b/crates/apricotwell_entry/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions over real sockets; `UPDATE_EXPECT=1` writes them anew.
+//! Golden tests of whole sessions over real sockets; `UPDATE_EXPECT=1` rewrites the files.
 
 use std::path::PathBuf;
 
@@ -28,46 +28,46 @@
     let key = LocalFleet::key("hadegisbru");
     let path = "/v1/chat/completions";
     let mut text = String::new();
-    let mut note = |name: &str, answer: String| text.push_str(&format!("== {name}\n{answer}\n"));
-    note(
+    let mut record = |name: &str, answer: String| text.push_str(&format!("== {name}\n{answer}\n"));
+    record(
         "chat, streamed",
         normalise(&fleet.chat(0, "hadegisbru", &chat(true))),
     );
-    note(
+    record(
         "chat, whole",
         normalise(&fleet.chat(0, "hadegisbru", &chat(false))),
     );
     let plain = r#"{"model":"menu-writer","prompt":"Soup","max_tokens":2}"#;
     let answer = fleet.post(0, "/v1/completions", &key, &[], plain);
-    note("plain completion", normalise(&answer));
+    record("plain completion", normalise(&answer));
     let usage = "\"stream\":true,\"stream_options\":{\"include_usage\":true}";
     let usage = chat(true).replace("\"stream\":true", usage);
-    note(
+    record(
         "chat, streamed with usage",
         normalise(&fleet.chat(0, "hadegisbru", &usage)),
     );
     let unknown = chat(false).replace("menu-writer", "unknown");
-    note(
+    record(
         "unknown model",
         normalise(&fleet.chat(0, "hadegisbru", &unknown)),
     );
     let answer = fleet.post(0, path, "aw-wrong", &[], &chat(false));
-    note("wrong key", normalise(&answer));
-    note(
+    record("wrong key", normalise(&answer));
+    record(
         "unknown path",
         normalise(&fleet.post(0, "/unknown", &key, &[], "{}")),
     );
     let answer = fleet.post(0, path, &key, &[("x-deadline-ms", "soon")], &chat(false));
-    note("bad deadline", normalise(&answer));
+    record("bad deadline", normalise(&answer));
     let large = chat(false)
         .replace("\"max_tokens\":3", "\"max_tokens\":131000")
         .replace("Soup?", &"Soup? ".repeat(200_000));
-    note(
+    record(
         "beyond the burst",
         normalise(&fleet.chat(0, "hadegisbru", &large)),
     );
     let leak = chat(false).replace("Soup?", &key);
-    note(
+    record(
         "key in the body",
         normalise(&fleet.chat(0, "hadegisbru", &leak)),
     );
@@ -132,24 +132,24 @@
     let long = chat(true).replace("\"max_tokens\":3", "\"max_tokens\":15");
     let answer = std::thread::scope(|scope| {
         let stream = scope.spawn(|| fleet.chat(0, "hadegisbru", &long));
-        // Until the engine has the request, "not run" would be true as well.
+        // Before the engine has the request, `not_run` would be a correct outcome too.
         fleet.wait_until("the engine runs the stream", |fleet| {
             fleet.audit(fleet.engine(0))["requests"] == 2
         });
         fleet.signal(0, "TERM");
-        fleet.wait_until("the look-up leaves it out", |fleet| {
+        fleet.wait_until("the lookup omits the instance", |fleet| {
             let addresses = fleet.get(1, "/v1/addresses").body;
             !addresses.contains(fleet.address(0))
         });
         stream.join()
     });
-    let answer = normalise(&answer.expect("an answer"));
+    let answer = normalise(&answer.expect("a response"));
     expect_file!["sessions/shutdown_during_a_stream.txt"].assert_eq(&answer);
     assert_eq!(fleet.wait_for_exit(0), Some(0));
 }
 
 #[test]
-fn a_second_signal_ends_requests_with_the_truth() {
+fn a_second_signal_aborts_streams_with_an_unknown_outcome() {
     let mut options = options("second-signal");
     options.token_ms = 100;
     let fleet = LocalFleet::start(options);
@@ -162,20 +162,25 @@
             metrics.contains("apricotwell_open_requests 1")
         });
         fleet.signal(0, "TERM");
-        fleet.wait_until("it leaves", |fleet| fleet.get(0, "/readyz").status == 503);
+        fleet.wait_until("the instance drains", |fleet| {
+            fleet.get(0, "/readyz").status == 503
+        });
         fleet.signal(0, "TERM");
         stream.join()
     });
-    let answer = answer.expect("an answer");
-    // A signal before the first event brings a whole refusal: there is nothing to tear.
+    let answer = answer.expect("a response");
+    // A signal before the first event leads to a complete refusal instead of a truncated stream.
     let refused = answer.status == 503 && !answer.body.contains("data:");
-    assert!(answer.torn || refused, "half an answer must not look whole");
-    let told = answer.body.contains("\"outcome\":\"outcome_unknown\"");
-    assert!(told, "{}", answer.body);
+    assert!(
+        answer.torn || refused,
+        "a truncated response must not look complete"
+    );
+    let is_reported = answer.body.contains("\"outcome\":\"outcome_unknown\"");
+    assert!(is_reported, "{}", answer.body);
 }
 
 #[test]
-fn a_second_signal_refuses_what_waits_as_not_run() {
+fn a_second_signal_refuses_waiting_requests_as_not_run() {
     let mut options = options("second-signal-waiting");
     options.load_ms = 60_000;
     let fleet = LocalFleet::start(options);
@@ -186,13 +191,15 @@
             metrics.contains("apricotwell_open_requests 1")
         });
         fleet.signal(0, "TERM");
-        fleet.wait_until("it leaves", |fleet| fleet.get(0, "/readyz").status == 503);
+        fleet.wait_until("the instance drains", |fleet| {
+            fleet.get(0, "/readyz").status == 503
+        });
         fleet.signal(0, "TERM");
         waiting.join()
     });
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("a response");
     assert_eq!(answer.status, 503, "{answer:?}");
-    let told = answer.body.contains("\"outcome\":\"not_run\"");
-    assert!(told, "{}", answer.body);
+    let is_reported = answer.body.contains("\"outcome\":\"not_run\"");
+    assert!(is_reported, "{}", answer.body);
     assert_eq!(fleet.audit(fleet.engine(0))["requests"], 0);
 }
