--- a/crates/apricotwell_claims/src/table.rs
+++ b/crates/apricotwell_claims/src/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use apricotwell_records::{ClaimBody, ClaimRecord, Claimed, Finished};
-use apricotwell_types::{BodyDigest, Ending, Fence, Offset};
+use apricotwell_types::{BodyDigest, Fence, Offset, RunOutcome};
 
 /// Answer recorded for an attempt, to be replayed to retries of the same request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// The client received an answer.
     Answered(RecordedAnswer),
     /// The client received no answer; contains what is known about the execution.
-    NoAnswer(Ending),
+    NoAnswer(RunOutcome),
 }
 
 /// Decision on an attempt that claims an idempotency key.
@@ -100,7 +100,7 @@
                 true
             }
             Some(ClaimBody::Claimed(claimed)) => {
-                self.apply_claimed(offset, record.written, claimed)
+                self.apply_claimed(offset, record.written_ms, claimed)
             }
             Some(ClaimBody::Finished(finished)) => self.apply_finished(finished),
             None => false,
@@ -169,7 +169,7 @@
     fn record(&self, written: u64, body: ClaimBody) -> ClaimRecord {
         ClaimRecord {
             fence: self.fence,
-            written,
+            written_ms: written,
             body: Some(body),
         }
     }
@@ -208,15 +208,15 @@
         if claim.attempt != finished.attempt || claim.outcome.is_some() {
             return false;
         }
-        match Ending::from_name(&finished.outcome) {
-            Some(Ending::NotRun) => {
+        match RunOutcome::from_name(&finished.outcome) {
+            Some(RunOutcome::NotRun) => {
                 self.claims.remove(&key);
             }
             Some(ending) => claim.outcome = Some(ClaimOutcome::NoAnswer(ending)),
             None => {
                 claim.outcome = Some(ClaimOutcome::Answered(RecordedAnswer {
                     status: finished.status as u16,
-                    content_type: finished.media.clone(),
+                    content_type: finished.content_type.clone(),
                     body: finished.answer.clone(),
                 }));
             }
@@ -236,7 +236,7 @@
         ClaimOutcome::Answered(answer) => {
             finished.outcome = "answered".to_owned();
             finished.status = u32::from(answer.status);
-            finished.media = answer.content_type.clone();
+            finished.content_type = answer.content_type.clone();
             finished.answer = answer.body.clone();
         }
     }
--- a/crates/apricotwell_claims/tests/table.rs
+++ b/crates/apricotwell_claims/tests/table.rs
@@ -2,7 +2,7 @@
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
 use apricotwell_records::{ClaimBody, ClaimRecord, Claimed, Finished, Opened};
-use apricotwell_types::Ending;
+use apricotwell_types::RunOutcome;
 
 const KEY: BodyDigest = BodyDigest([1; 16]);
 const BODY: BodyDigest = BodyDigest([2; 16]);
@@ -27,7 +27,7 @@
 fn record(fence: u64, body: ClaimBody) -> ClaimRecord {
     ClaimRecord {
         fence,
-        written: 5,
+        written_ms: 5,
         body: Some(body),
     }
 }
@@ -61,7 +61,7 @@
         body: b"done".to_vec(),
     };
     let answered = ClaimOutcome::Answered(answer.clone());
-    let unknown = ClaimOutcome::NoAnswer(Ending::OutcomeUnknown);
+    let unknown = ClaimOutcome::NoAnswer(RunOutcome::Unknown);
     let table = apply_all(&[
         opened(1),
         claimed(1, "a"),
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_claim_that_ended_as_not_run_frees_its_key() {
-    let not_run = ClaimOutcome::NoAnswer(Ending::NotRun);
+    let not_run = ClaimOutcome::NoAnswer(RunOutcome::NotRun);
     let table = apply_all(&[
         opened(1),
         claimed(1, "a"),
@@ -91,7 +91,7 @@
 
 #[test]
 fn republished_claims_rebuild_the_same_table() {
-    let failed = ClaimOutcome::NoAnswer(Ending::FailedAfterRun);
+    let failed = ClaimOutcome::NoAnswer(RunOutcome::FailedAfterRun);
     let mut table = apply_all(&[opened(1), claimed(1, "a"), finished(1, "a", &failed)]);
     let republished = table.republish(10, 100);
     assert_eq!(republished.len(), 2);
--- a/crates/apricotwell_control/src/command.rs
+++ b/crates/apricotwell_control/src/command.rs
@@ -388,7 +388,7 @@
             let Some(record) = Record::from_bytes(bytes) else {
                 continue;
             };
-            let Some(Body::Put(put)) = record.body else {
+            let Some(Body::PutConfig(put)) = record.body else {
                 continue;
             };
             let rest = put.path.strip_prefix(prefix);
--- a/crates/apricotwell_control/src/publish.rs
+++ b/crates/apricotwell_control/src/publish.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_adapters::{HttpLog, LogStore};
-use apricotwell_records::{AppendError, Body, CONTROL_STREAM, Put, Record};
+use apricotwell_records::{AppendError, Body, CONTROL_STREAM, PutConfig, Record};
 
 use crate::{ConfigReply, Fleet, Session};
 
@@ -105,7 +105,7 @@
         value: Option<String>,
     ) -> Result<(u64, u64), PublishError> {
         let change: u64 = rand::random_range(1..=u64::MAX);
-        let mut put = Put {
+        let mut put = PutConfig {
             path: path.to_owned(),
             expected,
             value,
@@ -113,7 +113,7 @@
             signature: Vec::new(),
         };
         self.session.key.sign(&self.session.operator, &mut put);
-        let record = Record::new(&self.session.operator, 0, 0, Body::Put(put)).to_bytes();
+        let record = Record::new(&self.session.operator, 0, 0, Body::PutConfig(put)).to_bytes();
         let mut doubtful = false;
         for _ in 0..MAX_APPENDS {
             match self.log.append(CONTROL_STREAM, vec![record.clone()]).await {
--- a/crates/apricotwell_dispatch/src/backends.rs
+++ b/crates/apricotwell_dispatch/src/backends.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use apricotwell_messages::ServerStock;
+use apricotwell_messages::ServerInventory;
 use apricotwell_types::{Fence, InstanceId, Map, ServerId, ZoneId};
 
 use crate::catalog::ServiceId;
@@ -237,11 +237,11 @@
     }
 
     /// Applies a server's inventory from the lease holder, unless a higher fencing token was seen.
-    pub fn apply_inventory(&mut self, now: Instant, fence: Fence, inventory: &ServerStock) {
+    pub fn apply_inventory(&mut self, now: Instant, fence: Fence, inventory: &ServerInventory) {
         let Some(server) = self.servers.get_mut(inventory.server.as_str()) else {
             return;
         };
-        if inventory.born != server.entry.started_ms || fence < server.fence {
+        if inventory.started_ms != server.entry.started_ms || fence < server.fence {
             return;
         }
         server.fence = fence;
@@ -257,7 +257,7 @@
             .collect();
         server.loading = (!inventory.loading.is_empty()).then(|| Loading {
             model: inventory.loading.as_str().into(),
-            ends_at: now + Duration::from_millis(u64::from(inventory.remaining)),
+            ends_at: now + Duration::from_millis(u64::from(inventory.remaining_ms)),
         });
     }
 
--- a/crates/apricotwell_dispatch/src/demand.rs
+++ b/crates/apricotwell_dispatch/src/demand.rs
@@ -86,7 +86,7 @@
                 adapter: requested.adapter.as_deref().unwrap_or_default().to_owned(),
                 waiting: entry.waiting.len() as u32,
                 rate: (entry.rate(now) * 1000.0) as u32,
-                patience: timeout.unwrap_or_default() as u32,
+                timeout_ms: timeout.unwrap_or_default() as u32,
             }
         });
         reports.collect()
--- a/crates/apricotwell_dispatch/src/dispatcher.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher.rs
@@ -262,7 +262,7 @@
         }
         Err(if self.freshness.is_current(now) {
             Refusal::not_run(
-                RefusalKind::InvalidKey,
+                RefusalKind::InvalidApiKey,
                 "the API key is unknown or revoked; ask your operator for a new one",
             )
         } else {
@@ -291,7 +291,8 @@
                     organisation.rate,
                     exceeded.share,
                 );
-                Refusal::not_run(RefusalKind::OverRate, text).with_retry_after(exceeded.retry_after)
+                Refusal::not_run(RefusalKind::RateLimited, text)
+                    .with_retry_after(exceeded.retry_after)
             })
     }
 
--- a/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/messaging.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use apricotwell_messages::{Heartbeat, ServerUse, Spending, StockTold};
+use apricotwell_messages::{Heartbeat, InventoryUpdate, ServerUse, Spending};
 use apricotwell_types::{InstanceId, Map, OrgId, Tokens};
 
 use super::Dispatcher;
@@ -39,7 +39,7 @@
                 .map(|(organisation, tokens, fleet)| Spending {
                     organisation: organisation.to_string(),
                     tokens,
-                    fleet,
+                    fleet_tokens: fleet,
                 })
                 .collect(),
             models: Vec::new(),
@@ -73,7 +73,7 @@
     }
 
     /// Applies the server inventories that the lease holder sent.
-    pub fn apply_inventory(&mut self, now: Instant, update: &StockTold) {
+    pub fn apply_inventory(&mut self, now: Instant, update: &InventoryUpdate) {
         for inventory in &update.servers {
             self.backends.apply_inventory(now, update.fence, inventory);
         }
@@ -113,7 +113,12 @@
         let spending: Map<&str, (Tokens, Tokens)> = heartbeat
             .spending
             .iter()
-            .map(|entry| (entry.organisation.as_str(), (entry.tokens, entry.fleet)))
+            .map(|entry| {
+                (
+                    entry.organisation.as_str(),
+                    (entry.tokens, entry.fleet_tokens),
+                )
+            })
             .collect();
         for organisation in catalog.organisations() {
             let name: &OrgId = &organisation.name;
--- a/crates/apricotwell_dispatch/src/feeds.rs
+++ b/crates/apricotwell_dispatch/src/feeds.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use apricotwell_messages::{FeedAnswer, FeedQuery, ModelHeld, ServerChange, ServerListed};
+use apricotwell_messages::{FeedQuery, FeedResponse, HeldModel, ServerChange, ServerEntry};
 use apricotwell_types::{InstanceId, Offset, ServerId};
 
 use crate::backends::BackendEntry;
@@ -118,7 +118,7 @@
     }
 
     /// Returns the answer to another instance's query, `None` before the feed was read.
-    pub fn answer(&self, now: Instant, query: &FeedQuery) -> Option<FeedAnswer> {
+    pub fn answer(&self, now: Instant, query: &FeedQuery) -> Option<FeedResponse> {
         let feed = if query.servers {
             Feed::Servers
         } else {
@@ -126,22 +126,22 @@
         };
         let view = self.view(feed)?;
         let age = now.saturating_duration_since(view.confirmed_at).as_millis();
-        let mut answer = FeedAnswer {
+        let mut answer = FeedResponse {
             number: query.number,
-            covers: query.from >= view.next,
+            complete: query.from >= view.next,
             next: view.next,
             // Rounded up, so that the view never appears newer than it is.
-            age: u32::try_from(age).unwrap_or(u32::MAX).saturating_add(1),
+            age_ms: u32::try_from(age).unwrap_or(u32::MAX).saturating_add(1),
             servers: Vec::new(),
             more: false,
         };
-        if query.servers && !answer.covers && query.from >= self.retained_from {
+        if query.servers && !answer.complete && query.from >= self.retained_from {
             self.add_changes(query.from, &mut answer);
         }
         Some(answer)
     }
 
-    fn add_changes(&self, from: Offset, answer: &mut FeedAnswer) {
+    fn add_changes(&self, from: Offset, answer: &mut FeedResponse) {
         let missing = self.changes.iter().filter(|(next, _)| *next > from);
         let mut last = from;
         for (next, change) in missing {
@@ -154,15 +154,15 @@
             last = *next;
             answer.servers.push(change.clone());
         }
-        answer.covers = true;
+        answer.complete = true;
     }
 }
 
 /// Decodes the answer to a query that was sent at `sent_at` for the changes after `from`.
 ///
 /// Returns `None` if the answer doesn't contain all changes since then.
-pub fn decode_answer(sent_at: Instant, from: Offset, answer: &FeedAnswer) -> Option<FeedUpdate> {
-    if !answer.covers {
+pub fn decode_answer(sent_at: Instant, from: Offset, answer: &FeedResponse) -> Option<FeedUpdate> {
+    if !answer.complete {
         return None;
     }
     let changes = answer.servers.iter().map(decode_change);
@@ -171,7 +171,7 @@
         next: answer.next.max(from),
         confirmed_at: match answer.more {
             true => None,
-            false => Some(sent_at.checked_sub(Duration::from_millis(u64::from(answer.age)))?),
+            false => Some(sent_at.checked_sub(Duration::from_millis(u64::from(answer.age_ms)))?),
         },
     })
 }
@@ -180,35 +180,35 @@
     match change {
         ServerListChange::Removed(id) => ServerChange {
             server: id.to_string(),
-            listed: None,
+            entry: None,
         },
         ServerListChange::Entry(entry) => ServerChange {
             server: entry.id.to_string(),
-            listed: Some(encode_entry(entry)),
+            entry: Some(encode_entry(entry)),
         },
     }
 }
 
-fn encode_entry(entry: &BackendEntry) -> ServerListed {
+fn encode_entry(entry: &BackendEntry) -> ServerEntry {
     let names = |names: &[ModelName]| names.iter().map(ToString::to_string).collect();
     let held = entry
         .inventory
         .models
         .iter()
-        .map(|(model, adapters)| ModelHeld {
+        .map(|(model, adapters)| HeldModel {
             model: model.to_string(),
             adapters: names(adapters),
         });
-    ServerListed {
+    ServerEntry {
         service: entry.service.to_string(),
         address: entry.address.to_string(),
         zone: entry.zone.to_string(),
         slots: entry.slots,
-        leaving: entry.draining,
-        remaining: entry
+        draining: entry.draining,
+        remaining_ms: entry
             .remaining
             .map(|left| u32::try_from(left.as_millis()).unwrap_or(u32::MAX)),
-        born: entry.started_ms,
+        started_ms: entry.started_ms,
         orders: entry.inventory.orders,
         models: held.collect(),
         in_memory: names(&entry.inventory.in_memory),
@@ -218,7 +218,7 @@
 
 fn decode_change(change: &ServerChange) -> Option<ServerListChange> {
     let id: ServerId = change.server.as_str().into();
-    let Some(listed) = &change.listed else {
+    let Some(listed) = &change.entry else {
         return Some(ServerListChange::Removed(id));
     };
     let address: SocketAddr = listed.address.parse().ok()?;
@@ -230,11 +230,11 @@
         address,
         zone: listed.zone.as_str().into(),
         slots: listed.slots,
-        draining: listed.leaving,
+        draining: listed.draining,
         remaining: listed
-            .remaining
+            .remaining_ms
             .map(|left| Duration::from_millis(u64::from(left))),
-        started_ms: listed.born,
+        started_ms: listed.started_ms,
         inventory: Inventory {
             orders: listed.orders,
             models: models
--- a/crates/apricotwell_dispatch/src/inventory_updates.rs
+++ b/crates/apricotwell_dispatch/src/inventory_updates.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use apricotwell_messages::{ModelHeld, ServerStock};
+use apricotwell_messages::{HeldModel, ServerInventory};
 use apricotwell_types::ServerId;
 
 use crate::backends::BackendTable;
@@ -19,7 +19,7 @@
 
 #[derive(Debug)]
 struct SentInventory {
-    models: Vec<ModelHeld>,
+    models: Vec<HeldModel>,
     loading: String,
     transmissions_left: u32,
 }
@@ -54,7 +54,7 @@
         now: Instant,
         planner: &PlacementPlanner,
         list: &BackendTable,
-    ) -> Vec<ServerStock> {
+    ) -> Vec<ServerInventory> {
         let refreshed = self.next_refreshed(planner);
         let mut batch = Vec::new();
         self.sent
@@ -88,7 +88,7 @@
     }
 
     // Whether the other instances were already sent an inventory, or have it from the server list.
-    fn is_sent(&self, id: &ServerId, inventory: &ServerStock, list: &BackendTable) -> bool {
+    fn is_sent(&self, id: &ServerId, inventory: &ServerInventory, list: &BackendTable) -> bool {
         match self.sent.get(id) {
             Some(sent) => sent.models == inventory.models && sent.loading == inventory.loading,
             // A new lease holder has sent nothing yet: only differences from the list count.
@@ -110,27 +110,27 @@
     }
 }
 
-fn encode_inventory(now: Instant, id: &ServerId, server: &ServerOrders) -> Option<ServerStock> {
+fn encode_inventory(now: Instant, id: &ServerId, server: &ServerOrders) -> Option<ServerInventory> {
     let inventory = server.servable(now)?;
     let loading = server.loading();
-    Some(ServerStock {
+    Some(ServerInventory {
         server: id.to_string(),
-        born: server.started_ms(),
+        started_ms: server.started_ms(),
         orders: inventory.orders,
         models: encode_models(&inventory),
         loading: loading
             .map(|(model, _)| model.to_string())
             .unwrap_or_default(),
-        remaining: loading.map_or(0, |(_, ends)| {
+        remaining_ms: loading.map_or(0, |(_, ends)| {
             ends.saturating_duration_since(now).as_millis() as u32
         }),
     })
 }
 
-fn encode_models(inventory: &Inventory) -> Vec<ModelHeld> {
+fn encode_models(inventory: &Inventory) -> Vec<HeldModel> {
     let models = inventory.models.iter();
     models
-        .map(|(model, adapters)| ModelHeld {
+        .map(|(model, adapters)| HeldModel {
             model: model.to_string(),
             adapters: adapters.iter().map(ToString::to_string).collect(),
         })
--- a/crates/apricotwell_dispatch/src/placement/demand.rs
+++ b/crates/apricotwell_dispatch/src/placement/demand.rs
@@ -48,7 +48,7 @@
         sum.rate += rate;
         sum.waiting += usage.waiting;
         if usage.waiting > 0 {
-            let timeout = Duration::from_millis(u64::from(usage.patience));
+            let timeout = Duration::from_millis(u64::from(usage.timeout_ms));
             sum.timeout = Some(sum.timeout.map_or(timeout, |known| known.min(timeout)));
         }
         if !usage.adapter.is_empty() {
--- a/crates/apricotwell_dispatch/src/quota.rs
+++ b/crates/apricotwell_dispatch/src/quota.rs
@@ -210,7 +210,7 @@
             window.advance(now, bucket_len);
             OrganisationSpending {
                 organisation: name.to_string(),
-                spans: window.buckets.iter().copied().collect(),
+                buckets: window.buckets.iter().copied().collect(),
             }
         });
         FleetSpending {
@@ -226,8 +226,8 @@
         let spent = std::mem::take(&mut self.windows);
         for saved in &spending.organisations {
             let mut window = Window::new(now, f64::MAX, 0.0);
-            let skipped = saved.spans.len().saturating_sub(BUCKETS as usize);
-            let buckets = saved.spans.iter().skip(skipped).copied();
+            let skipped = saved.buckets.len().saturating_sub(BUCKETS as usize);
+            let buckets = saved.buckets.iter().skip(skipped).copied();
             window.buckets = buckets.chain([0.0]).collect();
             self.windows
                 .insert(saved.organisation.as_str().into(), window);
--- a/crates/apricotwell_dispatch/tests/dispatcher.rs
+++ b/crates/apricotwell_dispatch/tests/dispatcher.rs
@@ -178,7 +178,7 @@
     unknown.key = Some(KeyDigest::of_secret("other"));
     assert_eq!(
         kind(&mut dispatcher, now, &unknown),
-        RefusalKind::InvalidKey
+        RefusalKind::InvalidApiKey
     );
     assert_eq!(
         kind(&mut dispatcher, later, &unknown),
--- a/crates/apricotwell_dispatch/tests/engines/engines.rs
+++ b/crates/apricotwell_dispatch/tests/engines/engines.rs
@@ -12,7 +12,7 @@
 use apricotwell_dispatch::model::Inventory;
 use apricotwell_dispatch::orders::{Operation, OrderReply, StatusReport};
 use apricotwell_dispatch::placement::{Order, PlacementPlanner};
-use apricotwell_messages::{ModelUse, ServerStock};
+use apricotwell_messages::{ModelUse, ServerInventory};
 
 const TICK: Duration = Duration::from_millis(20);
 const REPORT_LAG: Duration = Duration::from_millis(200);
@@ -307,7 +307,7 @@
     }
 
     /// Returns the servers in the lease holder's next broadcast.
-    pub(crate) fn next_broadcast(&self, updates: &mut InventoryUpdates) -> Vec<ServerStock> {
+    pub(crate) fn next_broadcast(&self, updates: &mut InventoryUpdates) -> Vec<ServerInventory> {
         updates.take_batch(self.now, &self.planner, &self.table)
     }
 
@@ -318,7 +318,7 @@
             adapter: adapter.to_owned(),
             waiting,
             rate: (rate * 1000.0) as u32,
-            patience: 10_000,
+            timeout_ms: 10_000,
         };
         let waiting = self.waiting.iter();
         let rates = self.rates.iter();
--- a/crates/apricotwell_dispatch/tests/placing.rs
+++ b/crates/apricotwell_dispatch/tests/placing.rs
@@ -8,7 +8,7 @@
 
 use apricotwell_dispatch::inventory_updates::InventoryUpdates;
 use apricotwell_dispatch::orders::Operation;
-use apricotwell_messages::ServerStock;
+use apricotwell_messages::ServerInventory;
 use engines::{Engines, Setup};
 
 /// Target for requests for rare models, from arrival until a server holds the model.
@@ -185,7 +185,7 @@
     let mut sent = 0;
     for _ in 0..3 {
         let servers = engines.next_broadcast(&mut updates);
-        let holds = |server: &ServerStock| server.models.iter().any(|held| held.model == model);
+        let holds = |server: &ServerInventory| server.models.iter().any(|held| held.model == model);
         sent += usize::from(servers.iter().any(holds));
     }
     assert_eq!(sent, 3);
--- a/crates/apricotwell_entry/src/answer.rs
+++ b/crates/apricotwell_entry/src/answer.rs
@@ -24,7 +24,7 @@
         r#type: refusal.kind.error_type(),
         param: None,
         code: refusal.kind.code(),
-        outcome: refusal.ending.as_str(),
+        outcome: refusal.outcome.as_str(),
     };
     json!({ "error": error }).to_string()
 }
@@ -35,7 +35,7 @@
     let mut response = HttpResponse::build(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     response
         .content_type("application/json")
-        .insert_header(("x-outcome", refusal.ending.as_str()));
+        .insert_header(("x-outcome", refusal.outcome.as_str()));
     if let Some(after) = refusal.retry_after {
         // Whole seconds, rounded up: a caller that comes back at that time must not be early.
         let seconds = after.as_millis().div_ceil(1000).max(1);
--- a/crates/apricotwell_entry/src/api/guard.rs
+++ b/crates/apricotwell_entry/src/api/guard.rs
@@ -33,7 +33,7 @@
 pub(crate) fn authenticate(shell: &Shell, request: &HttpRequest) -> Result<Caller, Refusal> {
     let secret = bearer(request).ok_or_else(|| {
         let message = "no API key: send it as `Authorization: Bearer KEY`";
-        Refusal::not_run(RefusalKind::InvalidKey, message)
+        Refusal::not_run(RefusalKind::InvalidApiKey, message)
     })?;
     // A key in the URL would reach logs and backend servers.
     if request
@@ -69,7 +69,7 @@
         Ok(Err(_)) => return Err(too_large(callers.max_body_bytes)),
         Err(_) => {
             let message = "the body came too slowly: send it again";
-            return Err(Refusal::not_run(RefusalKind::TooSlow, message));
+            return Err(Refusal::not_run(RefusalKind::RequestTimeout, message));
         }
     };
     if let Some(secret) = bearer(request)
@@ -132,7 +132,7 @@
 
 fn too_large(most: usize) -> Refusal {
     let message = format!("the body is larger than {most} bytes: send a smaller one");
-    Refusal::not_run(RefusalKind::TooLarge, message)
+    Refusal::not_run(RefusalKind::RequestTooLarge, message)
 }
 
 pub(crate) fn bad(message: impl Into<String>) -> Refusal {
--- a/crates/apricotwell_entry/src/api/operators.rs
+++ b/crates/apricotwell_entry/src/api/operators.rs
@@ -130,6 +130,6 @@
     });
     known.ok_or_else(|| {
         let message = "no valid operator token: use apricotwell-control with your operator key";
-        Refusal::not_run(apricotwell_types::RefusalKind::InvalidKey, message)
+        Refusal::not_run(apricotwell_types::RefusalKind::InvalidApiKey, message)
     })
 }
--- a/crates/apricotwell_entry/src/metrics.rs
+++ b/crates/apricotwell_entry/src/metrics.rs
@@ -126,7 +126,7 @@
     pub(crate) fn note_refusal(&self, refusal: &Refusal) {
         let labels = RefusalLabels {
             code: refusal.kind.code(),
-            outcome: refusal.ending.as_str(),
+            outcome: refusal.outcome.as_str(),
         };
         self.refusals.get_or_create(&labels).inc();
     }
--- a/crates/apricotwell_entry/src/relay.rs
+++ b/crates/apricotwell_entry/src/relay.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use apricotwell_node::{AttemptOutcome, Dispatch, StoredAnswer};
-use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
+use apricotwell_types::{Refusal, RefusalKind, RequestId, RunOutcome, Tokens};
 
 use crate::Shell;
 use crate::answer;
@@ -127,7 +127,7 @@
     }
     let message = "the instance ends; look up another address";
     let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
-    answer::refuse(&refusal.with_ending(Ending::OutcomeUnknown))
+    answer::refuse(&refusal.with_outcome(RunOutcome::Unknown))
 }
 
 async fn attempt(
@@ -210,7 +210,7 @@
 
 fn check_status(response: &ClientResponse, pass_errors: bool) -> Result<(), AttemptOutcome> {
     let outcome = header(response.headers(), "x-outcome");
-    if outcome.as_deref() == Some(Ending::NotRun.as_str()) {
+    if outcome.as_deref() == Some(RunOutcome::NotRun.as_str()) {
         return Err(AttemptOutcome::NotRun { unreachable: true });
     }
     if response.status().is_server_error() && !pass_errors {
--- a/crates/apricotwell_entry/src/streams.rs
+++ b/crates/apricotwell_entry/src/streams.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Sleep, sleep};
 
 use apricotwell_node::{AttemptOutcome, StoredAnswer};
-use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
+use apricotwell_types::{Refusal, RefusalKind, RequestId, RunOutcome, Tokens};
 
 use crate::Shell;
 use crate::answer::error_body;
@@ -202,7 +202,7 @@
             "the connection to the backend server broke; the answer is not whole"
         };
         let refusal = Refusal::not_run(RefusalKind::BackendFailed, message);
-        let refusal = refusal.with_ending(Ending::OutcomeUnknown);
+        let refusal = refusal.with_outcome(RunOutcome::Unknown);
         let event = format!("data: {}\n\n", error_body(&refusal));
         Poll::Ready(Some(Ok(Bytes::from(event))))
     }
--- a/crates/apricotwell_fakes/examples/slopes.rs
+++ b/crates/apricotwell_fakes/examples/slopes.rs
@@ -11,8 +11,8 @@
 use apricotwell_limits::{Bucket, Escrow, Rate};
 use apricotwell_placement::{DemandTable, PlacementView, Planner, ServerView, Use};
 use apricotwell_records::{
-    Body, ClaimBody, ClaimRecord, Claimed, Decide, OperatorKey, Put, Record, ServerUp, Settle,
-    SettleOutcome, Take,
+    AcquireLeases, Body, ClaimBody, ClaimRecord, Claimed, DecideLoad, OperatorKey, PutConfig,
+    Record, ServerUp, SettleOutcome, SettleReplica,
 };
 use apricotwell_routing::{Candidate, Router};
 use apricotwell_state::{Genesis, State, chunk_checkpoint, restore_checkpoint};
@@ -120,13 +120,13 @@
         let record = Record::new("entry-1", 1_796_337_954_803_960, sequence, body);
         apply(built, &record)
     };
-    let take = Take {
+    let take = AcquireLeases {
         shards: (0..1024).collect(),
         fences: vec![0; 1024],
         holder: "entry-1".to_owned(),
         incarnation: 1_796_337_954_803_960,
     };
-    let fence = write(&mut built, Body::Take(take));
+    let fence = write(&mut built, Body::AcquireLeases(take));
     for index in 0..servers {
         write(
             &mut built,
@@ -164,18 +164,18 @@
 where
     F: FnMut(&mut Built, Body) -> u64,
 {
-    let decide = Decide {
+    let decide = DecideLoad {
         model,
         version: "1".to_owned(),
         server: format!("s{server}"),
         incarnation: 1_796_337_954_803,
         fence,
     };
-    let replica = write(built, Body::Decide(decide));
+    let replica = write(built, Body::DecideLoad(decide));
     let outcome = SettleOutcome::Loaded as i32;
     write(
         built,
-        Body::Settle(Settle {
+        Body::SettleReplica(SettleReplica {
             replica,
             fence,
             outcome,
@@ -184,7 +184,7 @@
 }
 
 fn put(built: &mut Built, root: &OperatorKey, path: &str, text: &str) {
-    let mut put = Put {
+    let mut put = PutConfig {
         path: path.to_owned(),
         expected: 0,
         value: Some(text.to_owned()),
@@ -192,7 +192,7 @@
         signature: Vec::new(),
     };
     root.sign("root", &mut put);
-    apply(built, &Record::new("root", 0, 0, Body::Put(put)));
+    apply(built, &Record::new("root", 0, 0, Body::PutConfig(put)));
 }
 
 fn apply(built: &mut Built, record: &Record) -> u64 {
@@ -411,7 +411,7 @@
             };
             let record = ClaimRecord {
                 fence: 1,
-                written: 1,
+                written_ms: 1,
                 body: Some(ClaimBody::Claimed(claimed)),
             };
             bytes += record.to_bytes().len();
--- a/crates/apricotwell_fakes/src/audit.rs
+++ b/crates/apricotwell_fakes/src/audit.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use apricotwell_types::{Ending, Refusal, Tokens};
+use apricotwell_types::{Refusal, RunOutcome, Tokens};
 
 /// Tokens used by a request, counted when it was admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     pub(crate) fn end(&mut self, now: Instant, call: u64, finish: Finish) {
         let ran = self.call_runs.get(&call).copied().unwrap_or(0);
         if let Finish::Refused(refusal) = &finish
-            && refusal.ending == Ending::NotRun
+            && refusal.outcome == RunOutcome::NotRun
             && ran > 0
         {
             self.breaks(format!("call {call} was refused as not run and ran"));
--- a/crates/apricotwell_fakes/src/world.rs
+++ b/crates/apricotwell_fakes/src/world.rs
@@ -17,8 +17,8 @@
     OrderOutcome, ServerReport, StoredAnswer, Submission, Target,
 };
 use apricotwell_records::{
-    AppendError, Body, CHECKPOINT_STREAM, CONTROL_STREAM, LogBatch, OperatorKey, Put, ReadError,
-    Record,
+    AppendError, Body, CHECKPOINT_STREAM, CONTROL_STREAM, LogBatch, OperatorKey, PutConfig,
+    ReadError, Record,
 };
 use apricotwell_state::{Genesis, State};
 use apricotwell_timeline::Event;
--- a/crates/apricotwell_fakes/src/world/script.rs
+++ b/crates/apricotwell_fakes/src/world/script.rs
@@ -17,7 +17,7 @@
 
     /// Publishes a configuration change that was decided on a version.
     pub fn put_at(&mut self, path: &str, value: Option<&str>, expected: u64) -> u64 {
-        let mut put = Put {
+        let mut put = PutConfig {
             path: path.to_owned(),
             expected,
             value: value.map(str::to_owned),
@@ -25,7 +25,7 @@
             signature: Vec::new(),
         };
         self.root.sign("root", &mut put);
-        let record = Record::new("root", 0, 0, Body::Put(put)).to_bytes();
+        let record = Record::new("root", 0, 0, Body::PutConfig(put)).to_bytes();
         self.log.streams.append(CONTROL_STREAM, vec![record])
     }
 
--- a/crates/apricotwell_fakes/src/world/steps.rs
+++ b/crates/apricotwell_fakes/src/world/steps.rs
@@ -324,7 +324,10 @@
         let record = batch
             .ok()
             .and_then(|batch| Record::from_bytes(batch.records.first()?));
-        matches!(record.and_then(|record| record.body), Some(Body::Decide(_)))
+        matches!(
+            record.and_then(|record| record.body),
+            Some(Body::DecideLoad(_))
+        )
     }
 
     fn report(&self, server: &str) -> Option<ServerReport> {
--- a/crates/apricotwell_gateway/src/feed_queries.rs
+++ b/crates/apricotwell_gateway/src/feed_queries.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_dispatch::feeds::{Feed, FeedUpdate, decode_answer};
-use apricotwell_messages::{Datagram, FeedAnswer, FeedQuery};
+use apricotwell_messages::{Datagram, FeedQuery, FeedResponse};
 use apricotwell_types::{InstanceId, Map, Offset};
 use prost::Message;
 use tokio::net::UdpSocket;
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct FeedQueries {
     number: Cell<u64>,
-    pending: RefCell<Map<u64, oneshot::Sender<FeedAnswer>>>,
+    pending: RefCell<Map<u64, oneshot::Sender<FeedResponse>>>,
 }
 
 impl FeedQueries {
@@ -80,7 +80,7 @@
     }
 
     // Registers a new query and returns its number.
-    fn register(&self) -> (u64, oneshot::Receiver<FeedAnswer>) {
+    fn register(&self) -> (u64, oneshot::Receiver<FeedResponse>) {
         let number = self.number.get().wrapping_add(1);
         self.number.set(number);
         let (sender, receiver) = oneshot::channel();
@@ -89,7 +89,7 @@
     }
 
     /// Delivers a response to its query; drops it if the query is no longer pending.
-    pub fn deliver(&self, answer: FeedAnswer) {
+    pub fn deliver(&self, answer: FeedResponse) {
         if let Some(sender) = self.pending.borrow_mut().remove(&answer.number) {
             // The querying task may have timed out or been dropped.
             let _ = sender.send(answer);
--- a/crates/apricotwell_gateway/src/handler.rs
+++ b/crates/apricotwell_gateway/src/handler.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_dispatch::prelude::*;
-use apricotwell_types::{Ending, Refusal, RefusalKind, ServerId};
+use apricotwell_types::{Refusal, RefusalKind, RunOutcome, ServerId};
 use http::request;
 
 use crate::adapter::{Attempt, ClientProtocol, Platform};
@@ -232,7 +232,7 @@
                 RefusalKind::DeadlineExceeded => kind,
                 _ => RefusalKind::BackendFailed,
             };
-            return Refusal::not_run(kind, text).with_ending(Ending::OutcomeUnknown);
+            return Refusal::not_run(kind, text).with_outcome(RunOutcome::Unknown);
         }
         Refusal::not_run(kind, text).with_retry_after(Duration::from_millis(300))
     }
--- a/crates/apricotwell_gateway/src/heartbeats.rs
+++ b/crates/apricotwell_gateway/src/heartbeats.rs
@@ -5,7 +5,7 @@
 
 use apricotwell_dispatch::peers::heartbeat_interval;
 use apricotwell_dispatch::prelude::*;
-use apricotwell_messages::{Datagram, Heartbeat, StockTold};
+use apricotwell_messages::{Datagram, Heartbeat, InventoryUpdate};
 use apricotwell_types::InstanceId;
 use prost::Message;
 use tokio::net::UdpSocket;
@@ -101,7 +101,7 @@
         let Some(fence) = dispatcher.lease.fence(now) else {
             return;
         };
-        let update = StockTold {
+        let update = InventoryUpdate {
             fence,
             relay: false,
             servers: inventory.take_batch(now, &dispatcher.planner, &dispatcher.backends),
@@ -113,7 +113,7 @@
         return;
     }
     gateway.servers_changed.notify_waiters();
-    let relayed = StockTold {
+    let relayed = InventoryUpdate {
         relay: true,
         ..update.clone()
     };
@@ -125,7 +125,7 @@
 }
 
 // Applies an inventory update from the lease holder, and relays it within the zone if requested.
-async fn apply_inventory<P>(gateway: &Gateway<P>, socket: &UdpSocket, update: StockTold)
+async fn apply_inventory<P>(gateway: &Gateway<P>, socket: &UdpSocket, update: InventoryUpdate)
 where
     P: Platform,
 {
@@ -136,7 +136,7 @@
         update.relay.then(|| dispatcher.zone_peers(now))
     };
     gateway.servers_changed.notify_waiters();
-    let bytes = encode_inventory(StockTold {
+    let bytes = encode_inventory(InventoryUpdate {
         relay: false,
         ..update
     });
@@ -145,9 +145,9 @@
     }
 }
 
-fn encode_inventory(update: StockTold) -> Vec<u8> {
+fn encode_inventory(update: InventoryUpdate) -> Vec<u8> {
     let datagram = Datagram {
-        stock: Some(update),
+        inventory: Some(update),
         ..Datagram::default()
     };
     datagram.encode_to_vec()
@@ -226,14 +226,14 @@
         if let Some(heartbeat) = datagram.heartbeat {
             apply_heartbeat(&gateway, &heartbeat);
         }
-        if let Some(update) = datagram.stock {
+        if let Some(update) = datagram.inventory {
             apply_inventory(&gateway, &socket, update).await;
         }
         if let Some(query) = datagram.query {
             let now = gateway.now();
             let answer = gateway.dispatcher.borrow().feeds.answer(now, &query);
             let datagram = Datagram {
-                answer,
+                response: answer,
                 ..Datagram::default()
             };
             // Without a response, the other instance reads the store.
@@ -241,7 +241,7 @@
                 log::debug!("failed to send a response to {sender}: {error}");
             }
         }
-        if let Some(answer) = datagram.answer {
+        if let Some(answer) = datagram.response {
             gateway.feed_queries.deliver(answer);
         }
     }
--- a/crates/apricotwell_gateway/src/requests.rs
+++ b/crates/apricotwell_gateway/src/requests.rs
@@ -164,7 +164,7 @@
     let collected = tokio::time::timeout(time_limit, collect(body, limit, budget)).await;
     collected.unwrap_or_else(|_| {
         let text = "the request body was not received in time";
-        Err(Refusal::not_run(RefusalKind::TooSlow, text))
+        Err(Refusal::not_run(RefusalKind::RequestTimeout, text))
     })
 }
 
@@ -201,7 +201,10 @@
 }
 
 fn too_large() -> Refusal {
-    Refusal::not_run(RefusalKind::TooLarge, "the request body is over the limit")
+    Refusal::not_run(
+        RefusalKind::RequestTooLarge,
+        "the request body is over the limit",
+    )
 }
 
 fn body_budget_exhausted() -> Refusal {
@@ -289,8 +292,8 @@
     } else {
         RefusalKind::BackendFailed
     };
-    let ending = apricotwell_types::Ending::OutcomeUnknown;
-    Err(Some(Refusal::not_run(kind, reason).with_ending(ending)))
+    let ending = apricotwell_types::RunOutcome::Unknown;
+    Err(Some(Refusal::not_run(kind, reason).with_outcome(ending)))
 }
 
 // Ends a request with a refusal; refunds its tokens if no server ran it.
@@ -319,7 +322,7 @@
     Event::new("request_refused")
         .with("request", request.attempt.as_str())
         .with("reason", refusal.kind.code())
-        .with("ending", refusal.ending.as_str())
+        .with("ending", refusal.outcome.as_str())
         .with("message", refusal.message.as_str())
         .with("model", requested.map_or("", |requested| &*requested.model))
         .with(
--- a/crates/apricotwell_gateway/tests/feed_queries.rs
+++ b/crates/apricotwell_gateway/tests/feed_queries.rs
@@ -4,7 +4,7 @@
 
 use apricotwell_dispatch::feeds::{Feed, FeedUpdate};
 use apricotwell_gateway::feed_queries::FeedQueries;
-use apricotwell_messages::{Datagram, FeedAnswer};
+use apricotwell_messages::{Datagram, FeedResponse};
 use apricotwell_types::InstanceId;
 use prost::Message;
 use tokio::net::UdpSocket;
@@ -23,12 +23,12 @@
     datagram.query.unwrap().number
 }
 
-fn response(number: u64) -> FeedAnswer {
-    FeedAnswer {
+fn response(number: u64) -> FeedResponse {
+    FeedResponse {
         number,
-        covers: true,
+        complete: true,
         next: 7,
-        age: 100,
+        age_ms: 100,
         servers: Vec::new(),
         more: false,
     }
--- a/crates/apricotwell_leases/src/planner.rs
+++ b/crates/apricotwell_leases/src/planner.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use apricotwell_records::Take;
+use apricotwell_records::AcquireLeases;
 use apricotwell_state::State;
 use apricotwell_types::{Incarnation, InstanceId, Shard, rendezvous_owner};
 
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeasePlan {
     /// Shards without a live holder that this instance takes over.
-    pub takeover: Option<Take>,
+    pub takeover: Option<AcquireLeases>,
     /// Shards that this instance hands over, one record for each new owner.
-    pub handovers: Vec<Take>,
+    pub handovers: Vec<AcquireLeases>,
 }
 
 /// Plans the lease records that this instance should append.
@@ -45,12 +45,12 @@
 where
     F: Fn(Shard) -> bool,
 {
-    let mut takeover = Take {
+    let mut takeover = AcquireLeases {
         holder: own_id.to_owned(),
         incarnation,
-        ..Take::default()
+        ..AcquireLeases::default()
     };
-    let mut handovers: BTreeMap<&str, Take> = BTreeMap::new();
+    let mut handovers: BTreeMap<&str, AcquireLeases> = BTreeMap::new();
     let mut handed_over = 0;
     for shard in 0..state.genesis().shards {
         let Some(owner) = owner_of(shard, live) else {
@@ -66,11 +66,13 @@
         });
         if is_holder && *owner.id != *own_id && handed_over < MAX_HANDOVERS && can_hand_over(shard)
         {
-            let entry = handovers.entry(&*owner.id).or_insert_with(|| Take {
-                holder: owner.id.to_string(),
-                incarnation: owner.incarnation,
-                ..Take::default()
-            });
+            let entry = handovers
+                .entry(&*owner.id)
+                .or_insert_with(|| AcquireLeases {
+                    holder: owner.id.to_string(),
+                    incarnation: owner.incarnation,
+                    ..AcquireLeases::default()
+                });
             entry.shards.push(shard);
             entry.fences.push(fence);
             handed_over += 1;
--- a/crates/apricotwell_messages/src/claims.rs
+++ b/crates/apricotwell_messages/src/claims.rs
@@ -4,7 +4,7 @@
 
 /// Asks a claim shard's holder for an idempotency key.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// Digest of the organisation and the idempotency key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
@@ -60,7 +60,7 @@
 
 /// Confirms that the end of an attempt is recorded.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ClaimFinished {
+pub struct ClaimFinishAck {
     /// Attempt.
     #[prost(string, tag = "1")]
     pub attempt: String,
--- a/crates/apricotwell_messages/src/envelope.rs
+++ b/crates/apricotwell_messages/src/envelope.rs
@@ -2,25 +2,25 @@
 
 use prost::{Message as _, Oneof};
 
-use crate::claims::{ClaimAsk, ClaimFinish, ClaimFinished, ClaimReply};
-use crate::news::News;
-use crate::tokens::{BucketState, TokenAsk, TokenGrant};
+use crate::claims::{ClaimFinish, ClaimFinishAck, ClaimReply, ClaimRequest};
+use crate::member_update::MemberUpdate;
+use crate::tokens::{BucketState, TokenGrant, TokenRequest};
 
 /// Envelope of each message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
     /// Sender.
     #[prost(message, optional, tag = "1")]
-    pub sender: Option<News>,
-    /// News of other members.
+    pub sender: Option<MemberUpdate>,
+    /// Updates about other members.
     #[prost(message, repeated, tag = "2")]
-    pub news: Vec<News>,
+    pub updates: Vec<MemberUpdate>,
     /// What the sender has read of the log.
     #[prost(message, optional, tag = "3")]
     pub evidence: Option<LogEvidence>,
     /// What other members said of the log, on answers to pings only.
     #[prost(message, repeated, tag = "4")]
-    pub heard: Vec<HeardEvidence>,
+    pub relayed: Vec<RelayedEvidence>,
     /// Message; `None` for a kind that this version does not know.
     #[prost(
         oneof = "Message",
@@ -54,15 +54,15 @@
     pub next: u64,
     /// Milliseconds since its view was last confirmed; absent when it never was.
     #[prost(uint64, optional, tag = "2")]
-    pub contact_ms: Option<u64>,
+    pub view_age_ms: Option<u64>,
     /// Milliseconds since it last reached the log itself, not through a peer.
     #[prost(uint64, optional, tag = "3")]
-    pub direct_ms: Option<u64>,
+    pub log_contact_ms: Option<u64>,
 }
 
 /// What another member said of the log.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct HeardEvidence {
+pub struct RelayedEvidence {
     /// Member.
     #[prost(string, tag = "1")]
     pub member: String,
@@ -74,10 +74,10 @@
     pub age_ms: u64,
     /// Milliseconds between its last confirmed contact and that exchange; absent without any.
     #[prost(uint64, optional, tag = "4")]
-    pub contact_ms: Option<u64>,
+    pub view_age_ms: Option<u64>,
     /// The same for its last contact with the log itself.
     #[prost(uint64, optional, tag = "5")]
-    pub direct_ms: Option<u64>,
+    pub log_contact_ms: Option<u64>,
 }
 
 /// Kinds of messages.
@@ -94,7 +94,7 @@
     PingFor(PingFor),
     /// Asks an organisation's holder for tokens.
     #[prost(message, tag = "13")]
-    TokenAsk(TokenAsk),
+    TokenRequest(TokenRequest),
     /// Lends tokens.
     #[prost(message, tag = "14")]
     TokenGrant(TokenGrant),
@@ -109,7 +109,7 @@
     Reclaim(Reclaim),
     /// Asks a claim shard's holder for an idempotency key.
     #[prost(message, tag = "18")]
-    ClaimAsk(ClaimAsk),
+    ClaimRequest(ClaimRequest),
     /// Answers a claim.
     #[prost(message, tag = "19")]
     ClaimReply(ClaimReply),
@@ -118,16 +118,16 @@
     ClaimFinish(ClaimFinish),
     /// Confirms that the end is recorded.
     #[prost(message, tag = "21")]
-    ClaimFinished(ClaimFinished),
+    ClaimFinishAck(ClaimFinishAck),
     /// Asks for records of the control stream.
     #[prost(message, tag = "22")]
-    RecordsAsk(RecordsAsk),
+    RecordsRequest(RecordsRequest),
     /// Passes records of the control stream on.
     #[prost(message, tag = "23")]
     RecordsReply(RecordsReply),
     /// Asks for a snapshot of the state.
     #[prost(message, tag = "24")]
-    SnapshotAsk(SnapshotAsk),
+    SnapshotRequest(SnapshotRequest),
     /// Piece of a snapshot.
     #[prost(message, tag = "25")]
     SnapshotChunk(SnapshotChunk),
@@ -195,7 +195,7 @@
 
 /// Asks for records of the control stream.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct RecordsAsk {
+pub struct RecordsRequest {
     /// First offset wanted.
     #[prost(uint64, tag = "1")]
     pub from: u64,
@@ -214,7 +214,7 @@
 
 /// Asks for a snapshot of the state.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct SnapshotAsk {}
+pub struct SnapshotRequest {}
 
 /// Piece of a snapshot, in the form of a checkpoint chunk.
 #[derive(Clone, PartialEq, prost::Message)]
--- a/crates/apricotwell_messages/src/feeds.rs
+++ b/crates/apricotwell_messages/src/feeds.rs
@@ -3,7 +3,7 @@
 //! An answer states how old the answering instance's view is. As the asking instance knows when it
 //! asked, lost, late and repeated answers are harmless.
 
-use crate::heartbeat::{Heartbeat, ModelHeld, StockTold};
+use crate::heartbeat::{Heartbeat, HeldModel, InventoryUpdate};
 
 /// Question what came on a feed after an offset.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -21,19 +21,19 @@
 
 /// Answer to a question about a feed.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct FeedAnswer {
+pub struct FeedResponse {
     /// Number of the question.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// Whether the answer brings all that came between the two offsets.
     #[prost(bool, tag = "2")]
-    pub covers: bool,
+    pub complete: bool,
     /// Offset up to which the answering instance knows the feed.
     #[prost(uint64, tag = "3")]
     pub next: u64,
     /// Milliseconds since it knew that nothing came after that offset.
     #[prost(uint32, tag = "4")]
-    pub age: u32,
+    pub age_ms: u32,
     /// Changes of the list of servers.
     #[prost(message, repeated, tag = "5")]
     pub servers: Vec<ServerChange>,
@@ -50,12 +50,12 @@
     pub server: String,
     /// Entry; missing if the server left the list.
     #[prost(message, optional, tag = "2")]
-    pub listed: Option<ServerListed>,
+    pub entry: Option<ServerEntry>,
 }
 
 /// Entry of a server in the list.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ServerListed {
+pub struct ServerEntry {
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -70,19 +70,19 @@
     pub slots: u32,
     /// Whether it takes no new work.
     #[prost(bool, tag = "5")]
-    pub leaving: bool,
+    pub draining: bool,
     /// Milliseconds until it is gone, if it was given notice.
     #[prost(uint32, optional, tag = "6")]
-    pub remaining: Option<u32>,
+    pub remaining_ms: Option<u32>,
     /// Start of its process, in milliseconds since the epoch.
     #[prost(uint64, tag = "7")]
-    pub born: u64,
+    pub started_ms: u64,
     /// Orders that it had accepted, 0 where that isn't known.
     #[prost(uint64, tag = "8")]
     pub orders: u64,
     /// Models that it can run.
     #[prost(message, repeated, tag = "9")]
-    pub models: Vec<ModelHeld>,
+    pub models: Vec<HeldModel>,
     /// Models whose weights it has in memory.
     #[prost(string, repeated, tag = "10")]
     pub in_memory: Vec<String>,
@@ -102,8 +102,8 @@
     pub query: Option<FeedQuery>,
     /// Answer to one.
     #[prost(message, optional, tag = "3")]
-    pub answer: Option<FeedAnswer>,
+    pub response: Option<FeedResponse>,
     /// What servers hold.
     #[prost(message, optional, tag = "4")]
-    pub stock: Option<StockTold>,
+    pub inventory: Option<InventoryUpdate>,
 }
--- a/crates/apricotwell_messages/src/heartbeat.rs
+++ b/crates/apricotwell_messages/src/heartbeat.rs
@@ -25,7 +25,7 @@
     pub tokens: u64,
     /// Tokens that the whole fleet spent in the last window, as far as the instance knows.
     #[prost(uint64, tag = "3")]
-    pub fleet: u64,
+    pub fleet_tokens: u64,
 }
 
 /// Demand for one model or adapter at one instance.
@@ -48,12 +48,12 @@
     pub rate: u32,
     /// Milliseconds until the first waiting caller gives up.
     #[prost(uint32, tag = "6")]
-    pub patience: u32,
+    pub timeout_ms: u32,
 }
 
 /// Models held by one backend server.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ModelHeld {
+pub struct HeldModel {
     /// Model.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -64,30 +64,30 @@
 
 /// What one backend server holds, as the holder of the placement lease knows it.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ServerStock {
+pub struct ServerInventory {
     /// Backend server.
     #[prost(string, tag = "1")]
     pub server: String,
     /// Start of its process, in milliseconds since the epoch.
     #[prost(uint64, tag = "2")]
-    pub born: u64,
+    pub started_ms: u64,
     /// Orders that it had accepted.
     #[prost(uint64, tag = "3")]
     pub orders: u64,
     /// Models that it can run.
     #[prost(message, repeated, tag = "4")]
-    pub models: Vec<ModelHeld>,
+    pub models: Vec<HeldModel>,
     /// Model that it loads; empty for none.
     #[prost(string, tag = "5")]
     pub loading: String,
     /// Milliseconds until that load ends.
     #[prost(uint32, tag = "6")]
-    pub remaining: u32,
+    pub remaining_ms: u32,
 }
 
 /// What the holder of the placement lease tells of servers.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct StockTold {
+pub struct InventoryUpdate {
     /// Fence under which it orders them.
     #[prost(uint64, tag = "1")]
     pub fence: u64,
@@ -96,7 +96,7 @@
     pub relay: bool,
     /// What servers hold.
     #[prost(message, repeated, tag = "3")]
-    pub servers: Vec<ServerStock>,
+    pub servers: Vec<ServerInventory>,
 }
 
 /// What an instance tells the others.
@@ -142,7 +142,7 @@
     pub organisation: String,
     /// Tokens by span of the window, the newest last.
     #[prost(double, repeated, tag = "2")]
-    pub spans: Vec<f64>,
+    pub buckets: Vec<f64>,
 }
 
 /// What the fleet spent in the last window, kept in the store for instances that start.
--- a/crates/apricotwell_messages/src/lib.rs
+++ b/crates/apricotwell_messages/src/lib.rs
@@ -17,23 +17,23 @@
 mod envelope;
 mod feeds;
 mod heartbeat;
-mod news;
+mod member_update;
 mod tokens;
 
-pub use claims::{ClaimAsk, ClaimFinish, ClaimFinished, ClaimReply, ClaimVerdict};
+pub use claims::{ClaimFinish, ClaimFinishAck, ClaimReply, ClaimRequest, ClaimVerdict};
 pub use envelope::{
-    Ack, Demand, DemandItem, Envelope, HeardEvidence, LogEvidence, Message, Ping, PingFor, Reclaim,
-    RecordsAsk, RecordsReply, SnapshotAsk, SnapshotChunk,
+    Ack, Demand, DemandItem, Envelope, LogEvidence, Message, Ping, PingFor, Reclaim, RecordsReply,
+    RecordsRequest, RelayedEvidence, SnapshotChunk, SnapshotRequest,
 };
-pub use feeds::{Datagram, FeedAnswer, FeedQuery, ServerChange, ServerListed};
+pub use feeds::{Datagram, FeedQuery, FeedResponse, ServerChange, ServerEntry};
 pub use heartbeat::{
-    FleetSpending, Heartbeat, ModelHeld, ModelUse, OrganisationSpending, ServerStock, ServerUse,
-    Spending, StockTold,
+    FleetSpending, Heartbeat, HeldModel, InventoryUpdate, ModelUse, OrganisationSpending,
+    ServerInventory, ServerUse, Spending,
 };
-pub use news::News;
-pub use tokens::{BucketState, GrantLeft, TokenAsk, TokenGrant};
+pub use member_update::MemberUpdate;
+pub use tokens::{BucketState, GrantBalance, TokenGrant, TokenRequest};
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
-    pub use crate::{Envelope, Message, News, Ping};
+    pub use crate::{Envelope, MemberUpdate, Message, Ping};
 }
--- a/crates/apricotwell_messages/src/news.rs
+++ b/crates/apricotwell_messages/src/member_update.rs
@@ -2,9 +2,9 @@
 
 use apricotwell_membership::{Contact, MemberState, Update};
 
-/// News of one member.
+/// Membership update about one member.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct News {
+pub struct MemberUpdate {
     /// Instance.
     #[prost(string, tag = "1")]
     pub id: String,
@@ -25,7 +25,7 @@
     pub state: u32,
 }
 
-impl News {
+impl MemberUpdate {
     /// Converts from the core's news.
     pub fn from_update(update: &Update) -> Self {
         Self {
--- a/crates/apricotwell_messages/src/tokens.rs
+++ b/crates/apricotwell_messages/src/tokens.rs
@@ -4,7 +4,7 @@
 
 /// Asks an organisation's holder for tokens and reports what happened to earlier ones.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct TokenAsk {
+pub struct TokenRequest {
     /// Organisation.
     #[prost(string, tag = "1")]
     pub org: String,
@@ -13,19 +13,19 @@
     pub number: u64,
     /// Tokens wanted; 0 for a mere report.
     #[prost(uint64, tag = "3")]
-    pub want: u64,
+    pub requested: u64,
     /// Fence of the holder's lease; the report speaks of grants under it.
     #[prost(uint64, tag = "4")]
     pub session: u64,
     /// Tokens left in each grant.
     #[prost(message, repeated, tag = "5")]
-    pub left: Vec<GrantLeft>,
+    pub remaining: Vec<GrantBalance>,
     /// Grants given back.
     #[prost(uint64, repeated, tag = "6")]
     pub returned: Vec<u64>,
     /// Tokens reserved by all finished requests of the session.
     #[prost(uint64, tag = "7")]
-    pub finished: u64,
+    pub settled: u64,
     /// Of these, tokens that were not used.
     #[prost(uint64, tag = "8")]
     pub refunded: u64,
@@ -33,29 +33,29 @@
 
 /// Tokens left in a grant.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct GrantLeft {
+pub struct GrantBalance {
     /// Grant.
     #[prost(uint64, tag = "1")]
     pub grant: u64,
     /// Tokens.
     #[prost(uint64, tag = "2")]
-    pub left: u64,
+    pub remaining: u64,
 }
 
-impl TokenAsk {
+impl TokenRequest {
     /// Returns an ask with a report.
-    pub fn new(org: &str, number: u64, want: u64, report: EscrowReport) -> Self {
-        let left = report.remaining.into_iter();
+    pub fn new(org: &str, number: u64, requested: u64, report: EscrowReport) -> Self {
+        let remaining = report.remaining.into_iter();
         Self {
             org: org.to_owned(),
             number,
-            want,
+            requested,
             session: report.session,
-            left: left
-                .map(|(grant, left)| GrantLeft { grant, left })
+            remaining: remaining
+                .map(|(grant, remaining)| GrantBalance { grant, remaining })
                 .collect(),
             returned: report.returned,
-            finished: report.settled,
+            settled: report.settled,
             refunded: report.refunded,
         }
     }
@@ -65,12 +65,12 @@
         EscrowReport {
             session: self.session,
             remaining: self
-                .left
+                .remaining
                 .iter()
-                .map(|item| (item.grant, item.left))
+                .map(|item| (item.grant, item.remaining))
                 .collect(),
             returned: self.returned.clone(),
-            settled: self.finished,
+            settled: self.settled,
             refunded: self.refunded,
         }
     }
@@ -116,5 +116,5 @@
     pub level: u64,
     /// Tokens in grants that may still be spent.
     #[prost(uint64, tag = "4")]
-    pub lent: u64,
+    pub outstanding: u64,
 }
--- a/crates/apricotwell_node/src/claim_client.rs
+++ b/crates/apricotwell_node/src/claim_client.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, RecordedAnswer};
-use apricotwell_messages::{ClaimAsk, ClaimFinish, ClaimReply, ClaimVerdict, Message};
+use apricotwell_messages::{ClaimFinish, ClaimReply, ClaimRequest, ClaimVerdict, Message};
 use apricotwell_records::Finished;
-use apricotwell_types::{Ending, RequestId, Shard};
+use apricotwell_types::{RequestId, RunOutcome, Shard};
 
 /// Delay before an unanswered message is sent again.
 const RESEND_DELAY: Duration = Duration::from_millis(300);
@@ -17,7 +17,7 @@
 struct PendingClaim {
     request: RequestId,
     shard: Shard,
-    claim: ClaimAsk,
+    claim: ClaimRequest,
     sent: Option<Instant>,
     deadline: Instant,
 }
@@ -39,7 +39,7 @@
     /// An attempt with the key was answered.
     Answered(RecordedAnswer),
     /// An attempt with the key ended without an answer.
-    Ended(Ending),
+    Ended(RunOutcome),
     /// The key was already used with a different body.
     OtherBody,
     /// The claim could not be recorded, so the request must not run.
@@ -64,7 +64,7 @@
         attempt: &str,
         deadline: Instant,
     ) {
-        let claim = ClaimAsk {
+        let claim = ClaimRequest {
             key: key.0.to_vec(),
             body: body.0.to_vec(),
             attempt: attempt.to_owned(),
@@ -110,7 +110,7 @@
                 late.push(pending.request);
             } else if due(pending.sent) {
                 pending.sent = Some(now);
-                messages.push((pending.shard, Message::ClaimAsk(pending.claim.clone())));
+                messages.push((pending.shard, Message::ClaimRequest(pending.claim.clone())));
             }
         }
         for report in self.unrecorded.values_mut() {
@@ -151,7 +151,7 @@
             return;
         };
         if let Some(key) = BodyDigest::from_slice(&pending.claim.key) {
-            let outcome = ClaimOutcome::NoAnswer(Ending::NotRun);
+            let outcome = ClaimOutcome::NoAnswer(RunOutcome::NotRun);
             self.report_outcome(pending.shard, key, attempt, &outcome);
         }
     }
@@ -163,11 +163,11 @@
 }
 
 fn recorded_result(finished: &Finished) -> ClaimResult {
-    match Ending::from_name(&finished.outcome) {
+    match RunOutcome::from_name(&finished.outcome) {
         Some(ending) => ClaimResult::Ended(ending),
         None => ClaimResult::Answered(RecordedAnswer {
             status: finished.status as u16,
-            content_type: finished.media.clone(),
+            content_type: finished.content_type.clone(),
             body: finished.answer.clone(),
         }),
     }
--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -5,13 +5,13 @@
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, ClaimTable, Verdict};
 use apricotwell_messages::{
-    ClaimAsk, ClaimFinish, ClaimFinished, ClaimReply, ClaimVerdict, Message,
+    ClaimFinish, ClaimFinishAck, ClaimReply, ClaimRequest, ClaimVerdict, Message,
 };
 use apricotwell_records::{
     AppendError, ClaimBody, ClaimRecord, Claimed, Finished, LogBatch, Opened, ReadError,
     claim_stream,
 };
-use apricotwell_types::{Ending, Fence, InstanceId, Offset, Shard};
+use apricotwell_types::{Fence, InstanceId, Offset, RunOutcome, Shard};
 
 use crate::Action;
 
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct PendingClaim {
     from: InstanceId,
-    claim: ClaimAsk,
+    claim: ClaimRequest,
     since: Instant,
 }
 
@@ -94,7 +94,7 @@
         shard: Shard,
         fence: Fence,
         from: InstanceId,
-        claim: ClaimAsk,
+        claim: ClaimRequest,
     ) -> Option<Reply> {
         let held = self.shard(shard, fence);
         if held.pending.len() >= MAX_QUEUE {
@@ -333,7 +333,7 @@
             let done = !may_be_claimed && is_recorded(table, &outcome.finished);
             if done && !outcome.from.is_empty() {
                 let attempt = outcome.finished.attempt.clone();
-                let confirmation = Message::ClaimFinished(ClaimFinished { attempt });
+                let confirmation = Message::ClaimFinishAck(ClaimFinishAck { attempt });
                 replies.push((outcome.from.clone(), confirmation));
             }
             !done
@@ -364,7 +364,7 @@
         let attempts = claimed_attempts(&bodies);
         let record = |body| ClaimRecord {
             fence: self.fence,
-            written: wall_ms,
+            written_ms: wall_ms,
             body: Some(body),
         };
         let mut records: Vec<Vec<u8>> = bodies
@@ -459,7 +459,7 @@
 fn decide<F>(
     table: &ClaimTable,
     outcomes: &mut Vec<PendingOutcome>,
-    claim: &ClaimAsk,
+    claim: &ClaimRequest,
     has_ended: &F,
 ) -> Option<(ClaimVerdict, Option<Finished>)>
 where
@@ -480,7 +480,7 @@
         }
         Verdict::Held(attempt) if has_ended(&attempt) => {
             // The process ended without reporting an outcome, so the outcome stays unknown.
-            let unknown = ClaimOutcome::NoAnswer(Ending::OutcomeUnknown).to_record(key, &attempt);
+            let unknown = ClaimOutcome::NoAnswer(RunOutcome::Unknown).to_record(key, &attempt);
             if !outcomes
                 .iter()
                 .any(|outcome| outcome.finished.attempt == attempt)
@@ -505,7 +505,7 @@
     !table.is_running(key, &finished.attempt)
 }
 
-fn is_free(table: &ClaimTable, claim: &ClaimAsk) -> bool {
+fn is_free(table: &ClaimTable, claim: &ClaimRequest) -> bool {
     let key = BodyDigest::from_slice(&claim.key);
     let body = BodyDigest::from_slice(&claim.body);
     let verdict = key
--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -7,7 +7,7 @@
 };
 use apricotwell_membership::{Contact, MemberState, Membership, Outgoing, Probe};
 use apricotwell_messages::{
-    Ack, Envelope, HeardEvidence, LogEvidence, Message, News, Ping, PingFor,
+    Ack, Envelope, LogEvidence, MemberUpdate, Message, Ping, PingFor, RelayedEvidence,
 };
 use apricotwell_state::State;
 use apricotwell_types::{Fence, InstanceId, Offset, Shard};
@@ -186,7 +186,7 @@
         next: Offset,
         envelope: &Envelope,
     ) -> Vec<(Contact, Envelope)> {
-        let Some(sender) = envelope.sender.as_ref().and_then(News::to_update) else {
+        let Some(sender) = envelope.sender.as_ref().and_then(MemberUpdate::to_update) else {
             return Vec::new();
         };
         let probe = match &envelope.body {
@@ -203,7 +203,11 @@
             },
             _ => return Vec::new(),
         };
-        let updates: Vec<_> = envelope.news.iter().filter_map(News::to_update).collect();
+        let updates: Vec<_> = envelope
+            .updates
+            .iter()
+            .filter_map(MemberUpdate::to_update)
+            .collect();
         let out = self.membership.receive(now, &sender, probe, &updates);
         self.envelopes(now, next, out)
     }
@@ -219,12 +223,12 @@
             let evidence = Evidence {
                 requested_at: asked,
                 next: evidence.next,
-                view_age: evidence.contact_ms.map(Duration::from_millis),
-                log_contact_age: evidence.direct_ms.map(Duration::from_millis),
+                view_age: evidence.view_age_ms.map(Duration::from_millis),
+                log_contact_age: evidence.log_contact_ms.map(Duration::from_millis),
             };
             self.freshness.record_evidence(peer.clone(), evidence);
         }
-        for relayed in &envelope.heard {
+        for relayed in &envelope.relayed {
             let Some(asked) = asked.checked_sub(Duration::from_millis(relayed.age_ms)) else {
                 continue;
             };
@@ -234,8 +238,8 @@
             let evidence = Evidence {
                 requested_at: asked,
                 next: relayed.next,
-                view_age: relayed.contact_ms.map(Duration::from_millis),
-                log_contact_age: relayed.direct_ms.map(Duration::from_millis),
+                view_age: relayed.view_age_ms.map(Duration::from_millis),
+                log_contact_age: relayed.log_contact_ms.map(Duration::from_millis),
             };
             self.freshness
                 .record_evidence(relayed.member.as_str().into(), evidence);
@@ -244,7 +248,7 @@
 
     // Returns some statements of other members, in rotation. This way a statement reaches every
     // member, although each member probes only a few others.
-    fn relay_evidence(&mut self, now: Instant) -> Vec<HeardEvidence> {
+    fn relay_evidence(&mut self, now: Instant) -> Vec<RelayedEvidence> {
         let mut statements: Vec<(&InstanceId, &Evidence)> =
             self.freshness.recent_evidence(now).collect();
         statements.sort_unstable_by_key(|(peer, _)| *peer);
@@ -253,15 +257,15 @@
         self.next_relayed = first.wrapping_add(MAX_RELAYED);
         let selected = (0..count.min(MAX_RELAYED)).map(|index| statements[(first + index) % count]);
         selected
-            .map(|(peer, evidence)| HeardEvidence {
+            .map(|(peer, evidence)| RelayedEvidence {
                 member: peer.to_string(),
                 next: evidence.next,
                 age_ms: now
                     .saturating_duration_since(evidence.requested_at)
                     .as_millis() as u64
                     + 1,
-                contact_ms: evidence.view_age.map(|age| age.as_millis() as u64),
-                direct_ms: evidence.log_contact_age.map(|age| age.as_millis() as u64),
+                view_age_ms: evidence.view_age.map(|age| age.as_millis() as u64),
+                log_contact_ms: evidence.log_contact_age.map(|age| age.as_millis() as u64),
             })
             .collect()
     }
@@ -269,10 +273,10 @@
     /// Wraps a message in an envelope with this instance's membership state and log evidence.
     pub(crate) fn envelope(&self, now: Instant, next: Offset, body: Message) -> Envelope {
         Envelope {
-            sender: Some(News::from_update(self.membership.own())),
-            news: Vec::new(),
+            sender: Some(MemberUpdate::from_update(self.membership.own())),
+            updates: Vec::new(),
             evidence: Some(self.evidence(now, next)),
-            heard: Vec::new(),
+            relayed: Vec::new(),
             body: Some(body),
         }
     }
@@ -282,8 +286,8 @@
         LogEvidence {
             next,
             // Rounded up, so that the contact never appears more recent than it was.
-            contact_ms: age.map(|age| age.as_millis() as u64 + 1),
-            direct_ms: self.last_contact.map(|last_contact| {
+            view_age_ms: age.map(|age| age.as_millis() as u64 + 1),
+            log_contact_ms: self.last_contact.map(|last_contact| {
                 now.saturating_duration_since(last_contact).as_millis() as u64 + 1
             }),
         }
@@ -307,9 +311,13 @@
                 }),
             };
             let mut envelope = self.envelope(now, next, body);
-            envelope.news = outgoing.news.iter().map(News::from_update).collect();
+            envelope.updates = outgoing
+                .news
+                .iter()
+                .map(MemberUpdate::from_update)
+                .collect();
             if is_answer {
-                envelope.heard = self.relay_evidence(now);
+                envelope.relayed = self.relay_evidence(now);
             }
             envelopes.push((outgoing.to, envelope));
         }
--- a/crates/apricotwell_node/src/log_writer.rs
+++ b/crates/apricotwell_node/src/log_writer.rs
@@ -142,7 +142,7 @@
     // derived, so they are kept.
     fn keep_observations(&mut self) {
         let observations = self.group.drain(..).chain(self.queue.drain(..));
-        let observations = observations.filter(|body| matches!(body, Body::Suspect(_)));
+        let observations = observations.filter(|body| matches!(body, Body::CrashSuspect(_)));
         self.queue = observations.collect();
     }
 
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -490,19 +490,21 @@
             return;
         }
         let event = match record.body {
-            Some(Body::Put(put)) => Event::new(EventKind::ConfigApplied).with_detail(put.path),
-            Some(Body::Take(take)) => {
+            Some(Body::PutConfig(put)) => {
+                Event::new(EventKind::ConfigApplied).with_detail(put.path)
+            }
+            Some(Body::AcquireLeases(take)) => {
                 let detail = format!("{} takes {:?}", take.holder, take.shards);
                 Event::new(EventKind::LeaseTaken).with_detail(detail)
             }
-            Some(Body::Decide(decide)) => Event::new(EventKind::ReplicaDecided)
+            Some(Body::DecideLoad(decide)) => Event::new(EventKind::ReplicaDecided)
                 .with_replica(offset)
                 .with_model(decide.model)
                 .with_server(decide.server),
-            Some(Body::Retire(retire)) => {
+            Some(Body::RetireReplica(retire)) => {
                 Event::new(EventKind::ReplicaRetired).with_replica(retire.replica)
             }
-            Some(Body::Settle(settle)) => {
+            Some(Body::SettleReplica(settle)) => {
                 let kind = if self.state.ledger().replica(settle.replica).is_some() {
                     self.orders.reset_first_seen(now, settle.replica);
                     EventKind::ReplicaLoaded
@@ -519,7 +521,7 @@
             Some(Body::ServerGone(gone)) => {
                 Event::new(EventKind::ServerEnded).with_server(gone.server)
             }
-            Some(Body::Suspect(_)) => Event::new(EventKind::ServerCrashed),
+            Some(Body::CrashSuspect(_)) => Event::new(EventKind::ServerCrashed),
             None => return,
         };
         self.emit(now, event.with_offset(offset));
--- a/crates/apricotwell_node/src/node/coordination.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -6,7 +6,7 @@
 
 use apricotwell_messages::{Message, Reclaim};
 use apricotwell_placement::{PlacementView, Step};
-use apricotwell_records::{Body, CHECKPOINT_STREAM, Decide, Retire, Take};
+use apricotwell_records::{AcquireLeases, Body, CHECKPOINT_STREAM, DecideLoad, RetireReplica};
 use apricotwell_state::{Replica, chunk_checkpoint};
 use apricotwell_timeline::{Event, EventKind};
 use apricotwell_types::{ServerId, Set, shard_of};
@@ -33,8 +33,8 @@
         let crashed = self.servers.on_report(now, server, report);
         for digest in crashed {
             let digest = digest.0.to_vec();
-            let suspect = apricotwell_records::Suspect { digest };
-            self.writer.push(Body::Suspect(suspect));
+            let suspect = apricotwell_records::CrashSuspect { digest };
+            self.writer.push(Body::CrashSuspect(suspect));
             let event = Event::new(EventKind::ServerCrashed).with_server(server.to_string());
             self.emit(now, event);
         }
@@ -108,7 +108,7 @@
             self.hand_over(now, take);
         }
         if let Some(take) = plan.takeover {
-            self.writer.push(Body::Take(take));
+            self.writer.push(Body::AcquireLeases(take));
         }
         let fleet = &self.fleet;
         let shards = self.settings.genesis.shards;
@@ -129,7 +129,7 @@
 
     // Sends the buckets before the lease record, so that the new holder has them when it reads the
     // lease.
-    fn hand_over(&mut self, now: Instant, take: Take) {
+    fn hand_over(&mut self, now: Instant, take: AcquireLeases) {
         let shards = self.settings.genesis.shards;
         for shard in &take.shards {
             self.fleet.release(*shard);
@@ -140,7 +140,7 @@
                 self.send(now, &to, Message::BucketState(bucket));
             }
         }
-        self.writer.push(Body::Take(take));
+        self.writer.push(Body::AcquireLeases(take));
     }
 
     fn plan_replicas(&mut self, now: Instant) {
@@ -190,7 +190,7 @@
                 let Some(record) = self.state.ledger().server(&server) else {
                     return;
                 };
-                self.writer.push(Body::Decide(Decide {
+                self.writer.push(Body::DecideLoad(DecideLoad {
                     model: model.to_string(),
                     version,
                     server: server.to_string(),
@@ -199,7 +199,8 @@
                 }));
             }
             Step::Retire { replica, fence } => {
-                self.writer.push(Body::Retire(Retire { replica, fence }));
+                self.writer
+                    .push(Body::RetireReplica(RetireReplica { replica, fence }));
             }
             Step::Reclaim { replica } => self.request_reclaim(now, replica),
         }
--- a/crates/apricotwell_node/src/node/failures.rs
+++ b/crates/apricotwell_node/src/node/failures.rs
@@ -4,7 +4,7 @@
 
 use apricotwell_claims::ClaimOutcome;
 use apricotwell_timeline::{Event, EventKind};
-use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
+use apricotwell_types::{Refusal, RefusalKind, RequestId, RunOutcome, ServerId};
 
 use super::Node;
 use super::serving::BUSY_RETRY_DELAY;
@@ -64,13 +64,13 @@
     }
 
     pub(super) fn fail(&mut self, now: Instant, id: RequestId, outcome: &AttemptOutcome) {
-        let ending = outcome.ending().unwrap_or(Ending::OutcomeUnknown);
+        let ending = outcome.ending().unwrap_or(RunOutcome::Unknown);
         let message = match outcome {
             AttemptOutcome::Failed => "the backend server ran the request and reported a failure",
             AttemptOutcome::Stalled { .. } => "the backend server made no progress in time",
             _ => "the connection to the backend server broke while it ran the request",
         };
-        let refusal = Refusal::not_run(RefusalKind::BackendFailed, message).with_ending(ending);
+        let refusal = Refusal::not_run(RefusalKind::BackendFailed, message).with_outcome(ending);
         let refusal = match self.requests.get(id) {
             Some(request) if request.submission.class.is_repeatable() => {
                 refusal.with_retry_after(BUSY_RETRY_DELAY)
@@ -123,7 +123,7 @@
             "your organisation exceeded its rate limit; enough tokens are available in about {} ms",
             wait.as_millis()
         );
-        let refusal = Refusal::not_run(RefusalKind::OverRate, message).with_retry_after(wait);
+        let refusal = Refusal::not_run(RefusalKind::RateLimited, message).with_retry_after(wait);
         self.refuse(now, id, refusal);
     }
 
@@ -133,15 +133,15 @@
             .with_detail(format!(
                 "{} {}",
                 refusal.kind.code(),
-                refusal.ending.as_str()
+                refusal.outcome.as_str()
             ));
         self.emit(now, event);
-        let used = match refusal.ending {
-            Ending::NotRun => 0,
-            Ending::FailedAfterRun | Ending::OutcomeUnknown => u64::MAX,
+        let used = match refusal.outcome {
+            RunOutcome::NotRun => 0,
+            RunOutcome::FailedAfterRun | RunOutcome::Unknown => u64::MAX,
         };
         let claimed = self.requests.get(id).is_some_and(|request| request.claimed);
-        let ending = claimed.then_some(refusal.ending);
+        let ending = claimed.then_some(refusal.outcome);
         self.drop_request(now, id, used, ending);
         let request = id;
         self.actions.push(Action::Refuse { request, refusal });
@@ -153,7 +153,7 @@
         now: Instant,
         id: RequestId,
         used: u64,
-        ending: Option<Ending>,
+        ending: Option<RunOutcome>,
     ) {
         let Some(request) = self.requests.get(id).cloned() else {
             return;
--- a/crates/apricotwell_node/src/node/idempotency.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -4,7 +4,7 @@
 
 use apricotwell_claims::ClaimOutcome;
 use apricotwell_timeline::{Event, EventKind};
-use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
+use apricotwell_types::{Refusal, RefusalKind, RequestId, RunOutcome, ServerId};
 
 use super::Node;
 use super::serving::BUSY_RETRY_DELAY;
@@ -58,19 +58,19 @@
                 return;
             }
             ClaimResult::Held => Refusal::not_run(
-                RefusalKind::KeyInUse,
+                RefusalKind::IdempotencyKeyInUse,
                 "a request with this Idempotency-Key is still in progress; retry later to get its \
                  outcome",
             )
-            .with_ending(Ending::OutcomeUnknown)
+            .with_outcome(RunOutcome::Unknown)
             .with_retry_after(BUSY_RETRY_DELAY),
             ClaimResult::Ended(ending) => Refusal::not_run(
                 RefusalKind::BackendFailed,
                 "a request with this Idempotency-Key ended without an answer and will not run again",
             )
-            .with_ending(ending),
+            .with_outcome(ending),
             ClaimResult::OtherBody => Refusal::not_run(
-                RefusalKind::KeyReused,
+                RefusalKind::IdempotencyKeyReused,
                 "this Idempotency-Key was already used with a different body; use a new key",
             ),
             ClaimResult::Unavailable => {
--- a/crates/apricotwell_node/src/node/peers.rs
+++ b/crates/apricotwell_node/src/node/peers.rs
@@ -3,11 +3,11 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_messages::{
-    ClaimFinished, Envelope, Message, RecordsAsk, RecordsReply, SnapshotAsk, SnapshotChunk,
-    TokenGrant,
+    ClaimFinishAck, Envelope, Message, RecordsReply, RecordsRequest, SnapshotChunk,
+    SnapshotRequest, TokenGrant,
 };
 use apricotwell_placement::Use;
-use apricotwell_records::Retire;
+use apricotwell_records::RetireReplica;
 use apricotwell_state::chunk_checkpoint;
 use apricotwell_types::{BodyDigest, InstanceId, Shard, shard_of};
 
@@ -37,7 +37,7 @@
         };
         let from: InstanceId = sender.id.as_str().into();
         match envelope.body {
-            Some(Message::TokenAsk(request)) => self.on_token_request(now, &from, &request),
+            Some(Message::TokenRequest(request)) => self.on_token_request(now, &from, &request),
             Some(Message::TokenGrant(grant)) => self.on_token_grant(now, &grant),
             Some(Message::BucketState(state)) => self.tokens.on_bucket_state(&state),
             Some(Message::Demand(demand)) => {
@@ -53,17 +53,17 @@
                 self.run_coordination(now);
             }
             Some(Message::Reclaim(reclaim)) => self.on_reclaim(now, reclaim.replica),
-            Some(Message::ClaimAsk(request)) => self.on_claim_request(now, from, request),
+            Some(Message::ClaimRequest(request)) => self.on_claim_request(now, from, request),
             Some(Message::ClaimFinish(finish)) => self.on_claim_finish(now, from, finish),
             Some(Message::ClaimReply(reply)) => {
                 if let Some((request, result)) = self.claim_client.on_reply(&reply) {
                     self.on_claim_result(now, request, result);
                 }
             }
-            Some(Message::ClaimFinished(ClaimFinished { attempt })) => {
+            Some(Message::ClaimFinishAck(ClaimFinishAck { attempt })) => {
                 self.claim_client.on_outcome_recorded(&attempt);
             }
-            Some(Message::RecordsAsk(request)) => self.send_records(now, &from, request),
+            Some(Message::RecordsRequest(request)) => self.send_records(now, &from, request),
             Some(Message::RecordsReply(reply)) => {
                 self.apply_records(now, reply.first, reply.records);
                 let peer_next = envelope.evidence.map(|evidence| evidence.next);
@@ -71,7 +71,7 @@
                 self.fleet.set_applied(self.state.next());
                 self.after_apply(now);
             }
-            Some(Message::SnapshotAsk(_)) => self.send_snapshot(now, &from),
+            Some(Message::SnapshotRequest(_)) => self.send_snapshot(now, &from),
             Some(Message::SnapshotChunk(chunk)) => {
                 if self.on_checkpoint_chunk(now, &chunk.chunk) {
                     self.caught_up = true;
@@ -85,7 +85,7 @@
         &mut self,
         now: Instant,
         from: &InstanceId,
-        request: &apricotwell_messages::TokenAsk,
+        request: &apricotwell_messages::TokenRequest,
     ) {
         let shard = shard_of(&request.org, self.settings.genesis.shards);
         let Some(term_start) = self.fleet.term_start(now, &self.state, shard) else {
@@ -135,15 +135,16 @@
         if !self.writer.is_idle() || !self.may_reclaim(now, &record) {
             return;
         }
-        let retire = Retire { replica, fence };
-        self.writer.push(apricotwell_records::Body::Retire(retire));
+        let retire = RetireReplica { replica, fence };
+        self.writer
+            .push(apricotwell_records::Body::RetireReplica(retire));
     }
 
     fn on_claim_request(
         &mut self,
         now: Instant,
         from: InstanceId,
-        request: apricotwell_messages::ClaimAsk,
+        request: apricotwell_messages::ClaimRequest,
     ) {
         let Some(shard) = self.claim_shard(&request.key) else {
             return;
@@ -226,17 +227,17 @@
         self.next_catch_up = now + CATCH_UP_PERIOD;
         let next = self.state.next();
         let (peer, body) = if let Some(peer) = self.fleet.peer_ahead(now) {
-            let body = Message::RecordsAsk(RecordsAsk { from: next });
+            let body = Message::RecordsRequest(RecordsRequest { from: next });
             (peer, body)
         } else if let (false, Some(peer)) = (self.caught_up, self.fleet.any_peer()) {
-            (peer, Message::SnapshotAsk(SnapshotAsk {}))
+            (peer, Message::SnapshotRequest(SnapshotRequest {}))
         } else {
             return;
         };
         self.send(now, &peer.id, body);
     }
 
-    fn send_records(&mut self, now: Instant, to: &InstanceId, request: RecordsAsk) {
+    fn send_records(&mut self, now: Instant, to: &InstanceId, request: RecordsRequest) {
         let first_recent = self.recent_records.front().map(|(offset, _)| *offset);
         if first_recent.is_none_or(|first| request.from < first) {
             self.send_snapshot(now, to);
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -10,7 +10,7 @@
 use apricotwell_state::{KeyOwner, ReplicaPhase, ResolvedModel};
 use apricotwell_timeline::{Event, EventKind};
 use apricotwell_types::{
-    Ending, InstanceId, KeyDigest, ModelId, OrgId, Refusal, RefusalKind, ReplicaId, RequestId,
+    InstanceId, KeyDigest, ModelId, OrgId, Refusal, RefusalKind, ReplicaId, RequestId, RunOutcome,
     ServerId, WorkClass, shard_of,
 };
 
@@ -35,7 +35,7 @@
         self.check_keys(now)?;
         let holder = self.state.key_owner(key).ok_or_else(|| {
             Refusal::not_run(
-                RefusalKind::InvalidKey,
+                RefusalKind::InvalidApiKey,
                 "the API key is unknown or withdrawn; ask your operator for a new one",
             )
         })?;
@@ -96,7 +96,7 @@
             self.on_attempt_ended(now, id, &attempt, AttemptOutcome::ClientGone);
             return;
         }
-        self.drop_request(now, id, 0, Some(Ending::NotRun));
+        self.drop_request(now, id, 0, Some(RunOutcome::NotRun));
         self.dispatch_queued(now);
         self.flush(now);
     }
@@ -124,7 +124,7 @@
                 self.finish_answered(now, id, answer, used)
             }
             AttemptOutcome::ClientGone => {
-                self.drop_request(now, id, u64::MAX, Some(Ending::OutcomeUnknown));
+                self.drop_request(now, id, u64::MAX, Some(RunOutcome::Unknown));
             }
             AttemptOutcome::NotRun { .. } => self.retry_not_run(now, id),
             _ => self.retry_or_fail(now, id, &server, &outcome),
@@ -144,7 +144,7 @@
             let message = "the instance is shutting down; look up another address";
             let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
             let refusal = if running {
-                refusal.with_ending(Ending::OutcomeUnknown)
+                refusal.with_outcome(RunOutcome::Unknown)
             } else {
                 refusal.with_retry_after(BUSY_RETRY_DELAY)
             };
@@ -181,7 +181,7 @@
         }
         let Some(org) = self.state.org(&submission.org) else {
             let message = "the organisation of this key has no settings; ask your operator";
-            return Err(Refusal::not_run(RefusalKind::InvalidKey, message));
+            return Err(Refusal::not_run(RefusalKind::InvalidApiKey, message));
         };
         if submission.cost() > org.burst {
             let message = format!(
@@ -235,7 +235,7 @@
         };
         let requests = self.tokens.due_requests(now, holder_of);
         for (to, request) in requests {
-            self.send(now, &to, Message::TokenAsk(request));
+            self.send(now, &to, Message::TokenRequest(request));
         }
     }
 
@@ -423,7 +423,7 @@
             .is_some_and(|key| self.state.key_owner(&key).is_none());
         if withdrawn {
             let message = "the API key was withdrawn while the request waited";
-            return Some(Refusal::not_run(RefusalKind::InvalidKey, message));
+            return Some(Refusal::not_run(RefusalKind::InvalidApiKey, message));
         }
         if self.state.is_quarantined(submission.body_digest) {
             let message = "this body crashed backend servers and is quarantined";
--- a/crates/apricotwell_node/src/order_manager.rs
+++ b/crates/apricotwell_node/src/order_manager.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use apricotwell_records::{Body, Settle, SettleOutcome};
+use apricotwell_records::{Body, SettleOutcome, SettleReplica};
 use apricotwell_state::{Replica, ReplicaPhase, State};
 use apricotwell_types::{Fence, ReplicaId, ServerId, Set};
 
@@ -170,7 +170,7 @@
                 continue;
             };
             if let Some(outcome) = self.settlement(state, servers, id, replica, fence) {
-                records.push(Body::Settle(Settle {
+                records.push(Body::SettleReplica(SettleReplica {
                     replica: id,
                     fence,
                     outcome: outcome as i32,
--- a/crates/apricotwell_node/src/requests.rs
+++ b/crates/apricotwell_node/src/requests.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use apricotwell_claims::RecordedAnswer;
-use apricotwell_types::{Ending, RequestId, ServerId, Tokens};
+use apricotwell_types::{RequestId, RunOutcome, ServerId, Tokens};
 
 use crate::Submission;
 use crate::token_manager::Reservation;
@@ -53,14 +53,14 @@
 
 impl AttemptOutcome {
     /// Returns what is known about the execution; `None` when the request was answered.
-    pub(crate) fn ending(&self) -> Option<Ending> {
+    pub(crate) fn ending(&self) -> Option<RunOutcome> {
         match self {
             AttemptOutcome::Answered { .. } => None,
-            AttemptOutcome::NotRun { .. } => Some(Ending::NotRun),
-            AttemptOutcome::Failed => Some(Ending::FailedAfterRun),
+            AttemptOutcome::NotRun { .. } => Some(RunOutcome::NotRun),
+            AttemptOutcome::Failed => Some(RunOutcome::FailedAfterRun),
             AttemptOutcome::Disconnected { .. }
             | AttemptOutcome::Stalled { .. }
-            | AttemptOutcome::ClientGone => Some(Ending::OutcomeUnknown),
+            | AttemptOutcome::ClientGone => Some(RunOutcome::Unknown),
         }
     }
 
--- a/crates/apricotwell_node/src/token_manager.rs
+++ b/crates/apricotwell_node/src/token_manager.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use apricotwell_limits::{Bucket, BucketSnapshot, Escrow, Grant, Rate};
-use apricotwell_messages::{BucketState, TokenAsk, TokenGrant};
+use apricotwell_messages::{BucketState, TokenGrant, TokenRequest};
 use apricotwell_types::{Fence, InstanceId, Map, OrgId, RequestId, Tokens, WorkClass};
 
 /// Time after which an unanswered token request is sent again.
@@ -159,7 +159,7 @@
         &mut self,
         now: Instant,
         holder_of: F,
-    ) -> Vec<(InstanceId, TokenAsk)>
+    ) -> Vec<(InstanceId, TokenRequest)>
     where
         F: Fn(&str) -> Option<HolderRef<'a>>,
     {
@@ -177,7 +177,7 @@
             org_tokens.outstanding = (want > 0).then_some((self.last_request, now));
             org_tokens.next_request = now + REQUEST_INTERVAL;
             org_tokens.unreported = false;
-            let request = TokenAsk::new(org, self.last_request, want, report);
+            let request = TokenRequest::new(org, self.last_request, want, report);
             requests.push((holder.instance.clone(), request));
         }
         requests
@@ -188,7 +188,7 @@
         &mut self,
         now: Instant,
         from: &InstanceId,
-        request: &TokenAsk,
+        request: &TokenRequest,
         rate: Rate,
         term_start: TermStart,
     ) -> Option<TokenGrant> {
@@ -197,12 +197,12 @@
         if request.session == term_start.fence {
             held.bucket.apply_report(now, from, &request.report());
         }
-        if request.want == 0 {
+        if request.requested == 0 {
             return None;
         }
-        let grant = held.bucket.grant(now, from, request.want);
+        let grant = held.bucket.grant(now, from, request.requested);
         let amount = grant.map_or(0, |grant| grant.amount);
-        let wait = held.bucket.wait_time(now, request.want - amount);
+        let wait = held.bucket.wait_time(now, request.requested - amount);
         Some(TokenGrant {
             org: request.org.clone(),
             number: request.number,
@@ -266,7 +266,7 @@
                 org: org.to_string(),
                 fence: held.fence,
                 level: snapshot.level,
-                lent: snapshot.outstanding,
+                outstanding: snapshot.outstanding,
             });
             false
         });
@@ -277,7 +277,7 @@
     pub(crate) fn on_bucket_state(&mut self, state: &BucketState) {
         let snapshot = BucketSnapshot {
             level: state.level,
-            outstanding: state.lent,
+            outstanding: state.outstanding,
         };
         self.received
             .insert(state.org.as_str().into(), (state.fence, snapshot));
--- a/crates/apricotwell_node/tests/claims.rs
+++ b/crates/apricotwell_node/tests/claims.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use apricotwell_fakes::{Call, Finish, World, WorldOptions};
-use apricotwell_types::{Ending, RefusalKind};
+use apricotwell_types::{RefusalKind, RunOutcome};
 
 const NONE: Vec<String> = Vec::new();
 
@@ -60,8 +60,8 @@
         panic!("not refused");
     };
     assert_eq!(
-        (refusal.kind, refusal.ending),
-        (RefusalKind::KeyReused, Ending::NotRun)
+        (refusal.kind, refusal.outcome),
+        (RefusalKind::IdempotencyKeyReused, RunOutcome::NotRun)
     );
 }
 
@@ -157,7 +157,7 @@
                     let last = calls[calls.len() - keys.len() + index];
                     let settled = match finish(&world, last) {
                         Finish::Answered | Finish::Replayed => true,
-                        Finish::Refused(refusal) => refusal.ending == Ending::OutcomeUnknown,
+                        Finish::Refused(refusal) => refusal.outcome == RunOutcome::Unknown,
                     };
                     assert!(settled, "{case}: {key} ended {:?}", finish(&world, last));
                 }
@@ -178,8 +178,8 @@
             panic!("seed {seed}: not refused");
         };
         assert_eq!(
-            (refusal.kind, refusal.ending),
-            (RefusalKind::ClaimUnavailable, Ending::NotRun)
+            (refusal.kind, refusal.outcome),
+            (RefusalKind::ClaimUnavailable, RunOutcome::NotRun)
         );
         assert!(refusal.retry_after.is_some());
         world.log.down = false;
@@ -205,7 +205,7 @@
         let Finish::Refused(refusal) = finish(&world, call) else {
             panic!("not refused");
         };
-        assert_eq!(refusal.ending, Ending::OutcomeUnknown);
+        assert_eq!(refusal.outcome, RunOutcome::Unknown);
     }
     assert_eq!(world.audit.runs["w1"], 1);
 }
--- a/crates/apricotwell_node/tests/configuration.rs
+++ b/crates/apricotwell_node/tests/configuration.rs
@@ -175,7 +175,7 @@
     let (_, Finish::Refused(refusal)) = &world.audit.ends[&call] else {
         panic!("served under a withdrawn key");
     };
-    assert_eq!(refusal.kind, RefusalKind::InvalidKey);
+    assert_eq!(refusal.kind, RefusalKind::InvalidApiKey);
 }
 
 #[test]
--- a/crates/apricotwell_node/tests/leases.rs
+++ b/crates/apricotwell_node/tests/leases.rs
@@ -225,7 +225,7 @@
             .iter()
             .filter_map(|bytes| Record::from_bytes(bytes));
         let moved: Vec<Body> = records.filter_map(|record| record.body).collect();
-        let is_move = |body: &&Body| matches!(body, Body::Take(_));
+        let is_move = |body: &&Body| matches!(body, Body::AcquireLeases(_));
         let count = moved.iter().filter(is_move).count();
         assert!(count <= held, "seed {seed}: {held} shards: {moved:?}");
         assert!(world.is_settled(), "seed {seed}");
--- a/crates/apricotwell_node/tests/limits.rs
+++ b/crates/apricotwell_node/tests/limits.rs
@@ -165,11 +165,11 @@
             assert!(
                 matches!(
                     refusal.kind,
-                    RefusalKind::OverRate | RefusalKind::DeadlineExceeded
+                    RefusalKind::RateLimited | RefusalKind::DeadlineExceeded
                 ),
                 "{refusal:?}"
             );
-            if refusal.kind == RefusalKind::OverRate {
+            if refusal.kind == RefusalKind::RateLimited {
                 over_rate += 1;
                 assert!(refusal.retry_after.is_some());
             }
--- a/crates/apricotwell_node/tests/orders.rs
+++ b/crates/apricotwell_node/tests/orders.rs
@@ -5,7 +5,7 @@
 use apricotwell_fakes::{Call, Finish, World, WorldOptions};
 use apricotwell_state::ReplicaPhase;
 use apricotwell_timeline::EventKind;
-use apricotwell_types::{Ending, RefusalKind};
+use apricotwell_types::{RefusalKind, RunOutcome};
 
 const SEEDS: u64 = 8;
 const NONE: Vec<String> = Vec::new();
@@ -431,7 +431,7 @@
         assert!(runs <= 2, "seed {seed}: ran {runs} times");
         let last = world.audit.ends.get(calls.last().unwrap());
         let refused = matches!(last, Some((_, Finish::Refused(refusal)))
-            if refusal.kind == RefusalKind::Quarantined && refusal.ending == Ending::NotRun);
+            if refusal.kind == RefusalKind::Quarantined && refusal.outcome == RunOutcome::NotRun);
         assert!(refused, "seed {seed}: {last:?}");
         assert_eq!(world.broken(), NONE, "seed {seed}");
     }
--- a/crates/apricotwell_records/src/claim.rs
+++ b/crates/apricotwell_records/src/claim.rs
@@ -10,7 +10,7 @@
     pub fence: u64,
     /// Milliseconds since the Unix epoch by the writer's clock; only ages old claims out.
     #[prost(uint64, tag = "2")]
-    pub written: u64,
+    pub written_ms: u64,
     /// What is recorded; `None` for a kind that this version does not know.
     #[prost(oneof = "ClaimBody", tags = "10, 11, 12")]
     pub body: Option<ClaimBody>,
@@ -77,7 +77,7 @@
     pub status: u32,
     /// Content type of the answer.
     #[prost(string, tag = "5")]
-    pub media: String,
+    pub content_type: String,
     /// Body of the answer, when it is small enough to keep.
     #[prost(bytes = "vec", tag = "6")]
     pub answer: Vec<u8>,
--- a/crates/apricotwell_records/src/control.rs
+++ b/crates/apricotwell_records/src/control.rs
@@ -51,19 +51,19 @@
 pub enum Body {
     /// Change of configuration by an operator.
     #[prost(message, tag = "10")]
-    Put(Put),
+    PutConfig(PutConfig),
     /// Lease on duty shards.
     #[prost(message, tag = "11")]
-    Take(Take),
+    AcquireLeases(AcquireLeases),
     /// Decision to load a replica.
     #[prost(message, tag = "12")]
-    Decide(Decide),
+    DecideLoad(DecideLoad),
     /// Decision to unload a replica.
     #[prost(message, tag = "13")]
-    Retire(Retire),
+    RetireReplica(RetireReplica),
     /// Known outcome of a load or an unload.
     #[prost(message, tag = "14")]
-    Settle(Settle),
+    SettleReplica(SettleReplica),
     /// Start of a backend server.
     #[prost(message, tag = "15")]
     ServerUp(ServerUp),
@@ -72,12 +72,12 @@
     ServerGone(ServerGone),
     /// Crash of a backend server that ran a request.
     #[prost(message, tag = "17")]
-    Suspect(Suspect),
+    CrashSuspect(CrashSuspect),
 }
 
 /// Change of one configuration value, decided at a version.
 #[derive(Clone, PartialEq, Message)]
-pub struct Put {
+pub struct PutConfig {
     /// Path, such as `/teams/hadegisbru/keys/kitchen`.
     #[prost(string, tag = "1")]
     pub path: String,
@@ -97,7 +97,7 @@
 
 /// Lease on duty shards, decided at their present fences.
 #[derive(Clone, PartialEq, Message)]
-pub struct Take {
+pub struct AcquireLeases {
     /// Shards taken.
     #[prost(uint32, repeated, tag = "1")]
     pub shards: Vec<u32>,
@@ -114,7 +114,7 @@
 
 /// Decision to load one replica; its offset becomes the replica's id.
 #[derive(Clone, PartialEq, Message)]
-pub struct Decide {
+pub struct DecideLoad {
     /// Model, or `model:adapter`.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -134,7 +134,7 @@
 
 /// Decision to unload one replica.
 #[derive(Clone, PartialEq, Message)]
-pub struct Retire {
+pub struct RetireReplica {
     /// Replica.
     #[prost(uint64, tag = "1")]
     pub replica: u64,
@@ -145,7 +145,7 @@
 
 /// Known outcome of a load or an unload.
 #[derive(Clone, PartialEq, Message)]
-pub struct Settle {
+pub struct SettleReplica {
     /// Replica.
     #[prost(uint64, tag = "1")]
     pub replica: u64,
@@ -205,7 +205,7 @@
 
 /// Crash of a backend server that ran a request.
 #[derive(Clone, PartialEq, Message)]
-pub struct Suspect {
+pub struct CrashSuspect {
     /// Digest of the organisation and the body.
     #[prost(bytes = "vec", tag = "1")]
     pub digest: Vec<u8>,
--- a/crates/apricotwell_records/src/lib.rs
+++ b/crates/apricotwell_records/src/lib.rs
@@ -8,7 +8,7 @@
 //! ```
 //! use apricotwell_records::prelude::*;
 //!
-//! let record = Record::new("entry-1", 7, 1, Body::Suspect(Suspect { digest: vec![0; 16] }));
+//! let record = Record::new("entry-1", 7, 1, Body::CrashSuspect(CrashSuspect { digest: vec![0; 16] }));
 //! assert_eq!(Record::from_bytes(&record.to_bytes()).unwrap(), record);
 //! ```
 
@@ -19,8 +19,8 @@
 
 pub use claim::{ClaimBody, ClaimRecord, Claimed, Finished, Opened};
 pub use control::{
-    Body, CheckpointChunk, Decide, Put, Record, Retire, ServerGone, ServerUp, Settle,
-    SettleOutcome, Suspect, Take,
+    AcquireLeases, Body, CheckpointChunk, CrashSuspect, DecideLoad, PutConfig, Record,
+    RetireReplica, ServerGone, ServerUp, SettleOutcome, SettleReplica,
 };
 pub use log::{AppendError, LogBatch, ReadError};
 pub use signature::{OperatorKey, OperatorToken, SignatureError, verify_put};
@@ -28,9 +28,9 @@
 /// What nearly every user of the crate needs.
 pub mod prelude {
     pub use crate::{
-        Body, CheckpointChunk, ClaimBody, ClaimRecord, Claimed, Decide, Finished, Opened,
-        OperatorKey, Put, Record, Retire, ServerGone, ServerUp, Settle, SettleOutcome, Suspect,
-        Take,
+        AcquireLeases, Body, CheckpointChunk, ClaimBody, ClaimRecord, Claimed, CrashSuspect,
+        DecideLoad, Finished, Opened, OperatorKey, PutConfig, Record, RetireReplica, ServerGone,
+        ServerUp, SettleOutcome, SettleReplica,
     };
 }
 
--- a/crates/apricotwell_records/src/signature.rs
+++ b/crates/apricotwell_records/src/signature.rs
@@ -4,7 +4,7 @@
 
 use ed25519_dalek::{Signature, Signer, SigningKey, Verifier, VerifyingKey};
 
-use crate::Put;
+use crate::PutConfig;
 
 /// Secret key with which an operator signs changes.
 pub struct OperatorKey(SigningKey);
@@ -32,7 +32,7 @@
     }
 
     /// Signs `put` in the name of `writer`.
-    pub fn sign(&self, writer: &str, put: &mut Put) {
+    pub fn sign(&self, writer: &str, put: &mut PutConfig) {
         let text = signed_text(writer, put);
         put.signature = self.0.sign(&text).to_bytes().to_vec();
     }
@@ -146,7 +146,7 @@
 /// # Errors
 ///
 /// Fails when the key is malformed or the signature does not fit.
-pub fn verify_put(public_hex: &str, writer: &str, put: &Put) -> Result<(), SignatureError> {
+pub fn verify_put(public_hex: &str, writer: &str, put: &PutConfig) -> Result<(), SignatureError> {
     verify_text(public_hex, &signed_text(writer, put), &put.signature)
 }
 
@@ -160,7 +160,7 @@
 }
 
 // Lengths come before each variable part, so that no two changes share a text.
-fn signed_text(writer: &str, put: &Put) -> Vec<u8> {
+fn signed_text(writer: &str, put: &PutConfig) -> Vec<u8> {
     let mut text = b"apricotwell put 1".to_vec();
     for part in [writer, &put.path, put.value.as_deref().unwrap_or("")] {
         text.extend((part.len() as u64).to_le_bytes());
--- a/crates/apricotwell_state/src/config.rs
+++ b/crates/apricotwell_state/src/config.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use apricotwell_records::{Put, verify_put};
+use apricotwell_records::{PutConfig, verify_put};
 use apricotwell_types::Offset;
 
 use crate::RejectReason;
@@ -67,7 +67,7 @@
         &mut self,
         offset: Offset,
         writer: &str,
-        put: &Put,
+        put: &PutConfig,
     ) -> Result<Option<Setting>, RejectReason> {
         let version = self.get(&put.path).map_or(0, |entry| entry.version);
         if let Some(entry) = self.get(&put.path)
@@ -97,7 +97,7 @@
     pub(crate) fn authorise(
         &self,
         writer: &str,
-        put: &Put,
+        put: &PutConfig,
         root_key: &str,
     ) -> Result<(), RejectReason> {
         let (key, subtree) = if writer == ROOT_OPERATOR {
--- a/crates/apricotwell_state/src/lease.rs
+++ b/crates/apricotwell_state/src/lease.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use apricotwell_records::Take;
+use apricotwell_records::AcquireLeases;
 use apricotwell_types::{Fence, Incarnation, InstanceId, Offset, Shard};
 
 use crate::RejectReason;
@@ -53,7 +53,7 @@
         offset: Offset,
         writer: &str,
         incarnation: Incarnation,
-        take: &Take,
+        take: &AcquireLeases,
         shards: Shard,
     ) -> Result<(), RejectReason> {
         if take.shards.len() != take.fences.len() {
--- a/crates/apricotwell_state/src/state.rs
+++ b/crates/apricotwell_state/src/state.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use apricotwell_records::{Body, Decide, Put, Record, Settle, SettleOutcome};
+use apricotwell_records::{Body, DecideLoad, PutConfig, Record, SettleOutcome, SettleReplica};
 use apricotwell_types::{
     BodyDigest, Fence, Incarnation, KeyDigest, Map, Mebibytes, ModelId, Offset, OrgId, Shard,
     shard_of,
@@ -324,26 +324,26 @@
         let Some(body) = &record.body else {
             return Err(RejectReason::Unreadable);
         };
-        if let Body::Put(put) = body {
+        if let Body::PutConfig(put) = body {
             return self.apply_put(offset, &record.writer, put);
         }
         self.check_writer(record)?;
         match body {
-            Body::Put(_) => Err(RejectReason::Unreadable),
-            Body::Take(take) => {
+            Body::PutConfig(_) => Err(RejectReason::Unreadable),
+            Body::AcquireLeases(take) => {
                 let shards = self.genesis.shards;
                 let leases = &mut self.leases;
                 leases.take(offset, &record.writer, record.incarnation, take, shards)
             }
-            Body::Decide(decide) => self.apply_decide(offset, record, decide),
-            Body::Retire(retire) => {
+            Body::DecideLoad(decide) => self.apply_decide(offset, record, decide),
+            Body::RetireReplica(retire) => {
                 self.check_replica(record, retire.replica, retire.fence)?;
                 self.ledger.retire(retire.replica)
             }
-            Body::Settle(settle) => self.apply_settle(record, settle),
+            Body::SettleReplica(settle) => self.apply_settle(record, settle),
             Body::ServerUp(up) => self.ledger.server_up(up),
             Body::ServerGone(gone) => self.ledger.server_gone(&gone.server, gone.incarnation),
-            Body::Suspect(suspect) => self.apply_suspect(offset, &suspect.digest),
+            Body::CrashSuspect(suspect) => self.apply_suspect(offset, &suspect.digest),
         }
     }
 
@@ -373,7 +373,12 @@
         Ok(())
     }
 
-    fn apply_put(&mut self, offset: Offset, writer: &str, put: &Put) -> Result<(), RejectReason> {
+    fn apply_put(
+        &mut self,
+        offset: Offset,
+        writer: &str,
+        put: &PutConfig,
+    ) -> Result<(), RejectReason> {
         let root_key = &self.genesis.root_key;
         self.config.authorise(writer, put, root_key)?;
         self.check_key_digest(put)?;
@@ -400,7 +405,7 @@
 
     // Rejects a key digest that is in use under another path. Otherwise a team could take over a
     // key of another team by knowing only its digest.
-    fn check_key_digest(&self, put: &Put) -> Result<(), RejectReason> {
+    fn check_key_digest(&self, put: &PutConfig) -> Result<(), RejectReason> {
         let Some(text) = &put.value else {
             return Ok(());
         };
@@ -424,7 +429,7 @@
         &mut self,
         offset: Offset,
         record: &Record,
-        decide: &Decide,
+        decide: &DecideLoad,
     ) -> Result<(), RejectReason> {
         self.check_fence(record, &decide.model, decide.fence)?;
         let spec = self.load_spec(&decide.model);
@@ -447,7 +452,11 @@
         self.ledger.decide(offset, replica, capacity, max_replicas)
     }
 
-    fn apply_settle(&mut self, record: &Record, settle: &Settle) -> Result<(), RejectReason> {
+    fn apply_settle(
+        &mut self,
+        record: &Record,
+        settle: &SettleReplica,
+    ) -> Result<(), RejectReason> {
         self.check_replica(record, settle.replica, settle.fence)?;
         match SettleOutcome::try_from(settle.outcome) {
             Ok(SettleOutcome::Loaded) => self.ledger.confirm_loaded(settle.replica),
@@ -497,7 +506,7 @@
 
     fn record_rejection(&mut self, offset: Offset, record: &Record, reason: RejectReason) {
         let change = match &record.body {
-            Some(Body::Put(put)) => put.change,
+            Some(Body::PutConfig(put)) => put.change,
             _ => 0,
         };
         if self.rejections.len() == MAX_REJECTIONS {
--- a/crates/apricotwell_state/tests/fold.rs
+++ b/crates/apricotwell_state/tests/fold.rs
@@ -1,8 +1,8 @@
 //! Effects of control records on the state.
 
 use apricotwell_records::{
-    Body, Decide, OperatorKey, Put, Record, Retire, ServerGone, ServerUp, Settle, SettleOutcome,
-    Suspect, Take,
+    AcquireLeases, Body, CrashSuspect, DecideLoad, OperatorKey, PutConfig, Record, RetireReplica,
+    ServerGone, ServerUp, SettleOutcome, SettleReplica,
 };
 use apricotwell_state::{
     CheckpointAssembler, CheckpointError, Genesis, RejectReason, ReplicaPhase, State,
@@ -45,13 +45,13 @@
             );
         }
         assert_eq!(fixture.write("a", server_up("s", 1)), Ok(()));
-        let take = Take {
+        let take = AcquireLeases {
             shards: vec![0, 1, 2, 3],
             fences: vec![0; 4],
             holder: "a".to_owned(),
             incarnation: 1,
         };
-        assert_eq!(fixture.write("a", Body::Take(take)), Ok(()));
+        assert_eq!(fixture.write("a", Body::AcquireLeases(take)), Ok(()));
         fixture
     }
 
@@ -80,7 +80,7 @@
         expected: u64,
     ) -> Result<(), RejectReason> {
         self.change += 1;
-        let mut put = Put {
+        let mut put = PutConfig {
             path: path.to_owned(),
             expected,
             value: value.map(str::to_owned),
@@ -88,7 +88,7 @@
             signature: Vec::new(),
         };
         key.sign(writer, &mut put);
-        self.apply(&Record::new(writer, 0, 0, Body::Put(put)))
+        self.apply(&Record::new(writer, 0, 0, Body::PutConfig(put)))
     }
 
     fn fence(&self, model: &str) -> u64 {
@@ -108,14 +108,14 @@
         server: &str,
         incarnation: u64,
     ) -> Result<(), RejectReason> {
-        let decide = Decide {
+        let decide = DecideLoad {
             model: model.to_owned(),
             version: "1".to_owned(),
             server: server.to_owned(),
             incarnation,
             fence,
         };
-        self.write(writer, Body::Decide(decide))
+        self.write(writer, Body::DecideLoad(decide))
     }
 
     fn replica(&self) -> u64 {
@@ -146,7 +146,7 @@
         "a",
         1,
         99,
-        Body::Suspect(Suspect {
+        Body::CrashSuspect(CrashSuspect {
             digest: vec![1; 16],
         }),
     );
@@ -159,7 +159,7 @@
         "a",
         2,
         1,
-        Body::Suspect(Suspect {
+        Body::CrashSuspect(CrashSuspect {
             digest: vec![1; 16],
         }),
     );
@@ -168,7 +168,7 @@
         "a",
         1,
         100,
-        Body::Suspect(Suspect {
+        Body::CrashSuspect(CrashSuspect {
             digest: vec![1; 16],
         }),
     );
@@ -189,15 +189,18 @@
         Err(RejectReason::StaleFence)
     );
     let shard = fixture.state.model_shard("m");
-    let take = Take {
+    let take = AcquireLeases {
         shards: vec![shard],
         fences: vec![fence],
         holder: "b".to_owned(),
         incarnation: 1,
     };
-    assert_eq!(fixture.write("b", Body::Take(take.clone())), Ok(()));
     assert_eq!(
-        fixture.write("c", Body::Take(take)),
+        fixture.write("b", Body::AcquireLeases(take.clone())),
+        Ok(())
+    );
+    assert_eq!(
+        fixture.write("c", Body::AcquireLeases(take)),
         Err(RejectReason::StaleFence)
     );
     assert_eq!(
@@ -215,7 +218,7 @@
     let replica = fixture.replica();
     let settle = |outcome: SettleOutcome| {
         let outcome = outcome as i32;
-        Body::Settle(Settle {
+        Body::SettleReplica(SettleReplica {
             replica,
             fence: m,
             outcome,
@@ -230,7 +233,10 @@
         Err(RejectReason::WrongPhase)
     );
     assert_eq!(
-        fixture.write("a", Body::Retire(Retire { replica, fence: m })),
+        fixture.write(
+            "a",
+            Body::RetireReplica(RetireReplica { replica, fence: m })
+        ),
         Ok(())
     );
     assert_eq!(fixture.decide("a", "n", n), no_memory);
@@ -280,13 +286,13 @@
         Err(RejectReason::ReplicaLimit)
     );
     // The outcome of the earlier holder's load is unknown, so its memory stays reserved.
-    let take = Take {
+    let take = AcquireLeases {
         shards: vec![fixture.state.model_shard("m")],
         fences: vec![fence],
         holder: "b".to_owned(),
         incarnation: 1,
     };
-    assert_eq!(fixture.write("b", Body::Take(take)), Ok(()));
+    assert_eq!(fixture.write("b", Body::AcquireLeases(take)), Ok(()));
     let fence = fixture.fence("m");
     assert_eq!(fixture.decide_on("b", "m", fence, "t", 1), Ok(()));
     assert_eq!(
@@ -311,14 +317,14 @@
     assert_eq!(fixture.decide("a", "m", fence), Ok(()));
     let base = fixture.replica();
     let outcome = SettleOutcome::Loaded as i32;
-    let settle = Settle {
+    let settle = SettleReplica {
         replica: base,
         fence,
         outcome,
     };
-    assert_eq!(fixture.write("a", Body::Settle(settle)), Ok(()));
+    assert_eq!(fixture.write("a", Body::SettleReplica(settle)), Ok(()));
     assert_eq!(fixture.decide("a", "m:o/x", fence), Ok(()));
-    let retire = Body::Retire(Retire {
+    let retire = Body::RetireReplica(RetireReplica {
         replica: base,
         fence,
     });
--- a/crates/apricotwell_timeline/src/bin/apricotwell-timeline.rs
+++ b/crates/apricotwell_timeline/src/bin/apricotwell-timeline.rs
@@ -58,7 +58,7 @@
         kind: None,
     };
     let mut events = merge(&inputs).map_err(|error| error.to_string())?;
-    events.retain(|event| filter.keeps(event));
+    events.retain(|event| filter.matches(event));
     Ok(if args.svg {
         render_svg(&events)
     } else {
--- a/crates/apricotwell_timeline/src/merge.rs
+++ b/crates/apricotwell_timeline/src/merge.rs
@@ -46,7 +46,7 @@
 
 impl Filter {
     /// Returns whether an event is to be kept.
-    pub fn keeps(&self, event: &Event) -> bool {
+    pub fn matches(&self, event: &Event) -> bool {
         let fits =
             |wanted: &Option<String>, found: &Option<String>| wanted.is_none() || wanted == found;
         fits(&self.request, &event.request)
--- a/crates/apricotwell_types/src/lib.rs
+++ b/crates/apricotwell_types/src/lib.rs
@@ -11,20 +11,20 @@
 //! ```
 
 mod digest;
-mod ending;
+mod outcome;
 mod rendezvous;
 
 use std::sync::Arc;
 
 pub use digest::{BodyDigest, KeyDigest};
-pub use ending::{Ending, Refusal, RefusalKind};
+pub use outcome::{Refusal, RefusalKind, RunOutcome};
 pub use rendezvous::{rendezvous_owner, rendezvous_rank, shard_of};
 
 /// What nearly every user of the workspace needs.
 pub mod prelude {
     pub use crate::{
-        BodyDigest, Ending, Fence, InstanceId, KeyDigest, Map, ModelId, Offset, OrgId, Refusal,
-        RefusalKind, ReplicaId, ServerId, Set, Shard, Tokens, WorkClass, ZoneId,
+        BodyDigest, Fence, InstanceId, KeyDigest, Map, ModelId, Offset, OrgId, Refusal,
+        RefusalKind, ReplicaId, RunOutcome, ServerId, Set, Shard, Tokens, WorkClass, ZoneId,
     };
 }
 
--- a/crates/apricotwell_types/src/ending.rs
+++ b/crates/apricotwell_types/src/outcome.rs
@@ -4,34 +4,34 @@
 
 /// What is known of a request that did not get its whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ending {
+pub enum RunOutcome {
     /// No backend server was given the request; a repeat is safe.
     NotRun,
     /// A backend server ran the request and it failed.
     FailedAfterRun,
     /// A backend server may have run the request.
-    OutcomeUnknown,
+    Unknown,
 }
 
-impl Ending {
+impl RunOutcome {
     /// Returns the value of the `x-outcome` header and the error's `outcome` field.
     pub fn as_str(self) -> &'static str {
         match self {
-            Ending::NotRun => "not_run",
-            Ending::FailedAfterRun => "failed_after_it_ran",
-            Ending::OutcomeUnknown => "outcome_unknown",
+            RunOutcome::NotRun => "not_run",
+            RunOutcome::FailedAfterRun => "failed_after_it_ran",
+            RunOutcome::Unknown => "outcome_unknown",
         }
     }
 
-    /// Parses [`Ending::as_str`].
+    /// Parses [`RunOutcome::as_str`].
     pub fn from_name(text: &str) -> Option<Self> {
         [
-            Ending::NotRun,
-            Ending::FailedAfterRun,
-            Ending::OutcomeUnknown,
+            RunOutcome::NotRun,
+            RunOutcome::FailedAfterRun,
+            RunOutcome::Unknown,
         ]
         .into_iter()
-        .find(|ending| ending.as_str() == text)
+        .find(|outcome| outcome.as_str() == text)
     }
 }
 
@@ -41,11 +41,11 @@
     /// The body or a header is malformed or beyond a limit.
     BadRequest,
     /// The body is larger than the setting allows.
-    TooLarge,
+    RequestTooLarge,
     /// The body did not come in time.
-    TooSlow,
+    RequestTimeout,
     /// No key, an unknown key or a withdrawn key.
-    InvalidKey,
+    InvalidApiKey,
     /// The model is unknown or not granted to the organisation.
     ModelNotFound,
     /// No route has this path and method.
@@ -53,7 +53,7 @@
     /// The body crashed backend servers before and is quarantined.
     Quarantined,
     /// The organisation is over its rate.
-    OverRate,
+    RateLimited,
     /// Queues are full or the deadline can't be met.
     Overloaded,
     /// The deadline passed while the request waited.
@@ -63,9 +63,9 @@
     /// The log is down, so a non-idempotent request can't be claimed.
     ClaimUnavailable,
     /// Another request holds this idempotency key.
-    KeyInUse,
+    IdempotencyKeyInUse,
     /// The idempotency key came before with another body.
-    KeyReused,
+    IdempotencyKeyReused,
     /// A backend server failed.
     BackendFailed,
 }
@@ -75,13 +75,13 @@
     pub fn status(self) -> u16 {
         match self {
             RefusalKind::BadRequest => 400,
-            RefusalKind::TooLarge => 413,
-            RefusalKind::TooSlow => 408,
-            RefusalKind::InvalidKey => 401,
+            RefusalKind::RequestTooLarge => 413,
+            RefusalKind::RequestTimeout => 408,
+            RefusalKind::InvalidApiKey => 401,
             RefusalKind::ModelNotFound | RefusalKind::RouteNotFound => 404,
-            RefusalKind::Quarantined | RefusalKind::KeyReused => 422,
-            RefusalKind::OverRate => 429,
-            RefusalKind::KeyInUse => 409,
+            RefusalKind::Quarantined | RefusalKind::IdempotencyKeyReused => 422,
+            RefusalKind::RateLimited => 429,
+            RefusalKind::IdempotencyKeyInUse => 409,
             RefusalKind::Overloaded | RefusalKind::Unavailable | RefusalKind::ClaimUnavailable => {
                 503
             }
@@ -94,19 +94,19 @@
     pub fn code(self) -> &'static str {
         match self {
             RefusalKind::BadRequest => "bad_request",
-            RefusalKind::TooLarge => "request_too_large",
-            RefusalKind::TooSlow => "request_timeout",
-            RefusalKind::InvalidKey => "invalid_api_key",
+            RefusalKind::RequestTooLarge => "request_too_large",
+            RefusalKind::RequestTimeout => "request_timeout",
+            RefusalKind::InvalidApiKey => "invalid_api_key",
             RefusalKind::ModelNotFound => "model_not_found",
             RefusalKind::RouteNotFound => "route_not_found",
             RefusalKind::Quarantined => "quarantined",
-            RefusalKind::OverRate => "rate_limit_exceeded",
+            RefusalKind::RateLimited => "rate_limit_exceeded",
             RefusalKind::Overloaded => "overloaded",
             RefusalKind::DeadlineExceeded => "deadline_exceeded",
             RefusalKind::Unavailable => "unavailable",
             RefusalKind::ClaimUnavailable => "claim_unavailable",
-            RefusalKind::KeyInUse => "idempotency_key_in_use",
-            RefusalKind::KeyReused => "idempotency_key_reused",
+            RefusalKind::IdempotencyKeyInUse => "idempotency_key_in_use",
+            RefusalKind::IdempotencyKeyReused => "idempotency_key_reused",
             RefusalKind::BackendFailed => "backend_failed",
         }
     }
@@ -128,7 +128,7 @@
     /// Reason.
     pub kind: RefusalKind,
     /// What is known of the request's run.
-    pub ending: Ending,
+    pub outcome: RunOutcome,
     /// What happened and what the caller can do.
     pub message: String,
     /// When a repeat can succeed, if known.
@@ -140,15 +140,15 @@
     pub fn not_run(kind: RefusalKind, message: impl Into<String>) -> Self {
         Self {
             kind,
-            ending: Ending::NotRun,
+            outcome: RunOutcome::NotRun,
             message: message.into(),
             retry_after: None,
         }
     }
 
     /// Returns a refusal with another ending than not run.
-    pub fn with_ending(mut self, ending: Ending) -> Self {
-        self.ending = ending;
+    pub fn with_outcome(mut self, outcome: RunOutcome) -> Self {
+        self.outcome = outcome;
         self
     }
 
