--- a/crates/apricotwell_admission/src/lib.rs
+++ b/crates/apricotwell_admission/src/lib.rs
@@ -13,7 +13,7 @@
 //!
 //! let now = Instant::now();
 //! let mut queue = FairQueue::new(100);
-//! let entry = |request, org: &str| Waiting {
+//! let entry = |request, org: &str| QueuedRequest {
 //!     request,
 //!     org: org.into(),
 //!     model: "m".into(),
@@ -31,10 +31,10 @@
 mod queue;
 mod wait_estimate;
 
-pub use queue::{FairQueue, QueueFull, Waiting};
+pub use queue::{FairQueue, QueueFull, QueuedRequest};
 pub use wait_estimate::WaitEstimate;
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
-    pub use crate::{FairQueue, QueueFull, WaitEstimate, Waiting};
+    pub use crate::{FairQueue, QueueFull, QueuedRequest, WaitEstimate};
 }
--- a/crates/apricotwell_admission/src/queue.rs
+++ b/crates/apricotwell_admission/src/queue.rs
@@ -11,7 +11,7 @@
 
 /// Request that waits for a backend server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Request.
     pub request: RequestId,
     /// Organisation.
@@ -57,7 +57,7 @@
     // Virtual start time of the organisation's next request.
     virtual_start: u64,
     weight: u32,
-    models: BTreeMap<ModelId, BTreeMap<Urgency, Waiting>>,
+    models: BTreeMap<ModelId, BTreeMap<Urgency, QueuedRequest>>,
     len: usize,
 }
 
@@ -111,7 +111,7 @@
     /// Fails when the organisation or the instance is at its limit.
     pub fn push(
         &mut self,
-        entry: Waiting,
+        entry: QueuedRequest,
         weight: u32,
         max_waiting: usize,
     ) -> Result<(), QueueFull> {
@@ -140,9 +140,9 @@
     }
 
     /// Takes the next request whose model can run one now.
-    pub fn pop<F>(&mut self, mut can_run: F) -> Option<Waiting>
+    pub fn pop<F>(&mut self, mut can_run: F) -> Option<QueuedRequest>
     where
-        F: FnMut(&Waiting) -> bool,
+        F: FnMut(&QueuedRequest) -> bool,
     {
         let found = self.order.iter().find_map(|(_, org)| {
             let queue = self.orgs.get(org)?;
@@ -150,7 +150,7 @@
                 .models
                 .values()
                 .filter_map(|model| model.values().next());
-            let mut heads: Vec<&Waiting> = heads.collect();
+            let mut heads: Vec<&QueuedRequest> = heads.collect();
             heads.sort_unstable_by_key(|entry| urgency(entry));
             heads.into_iter().find(|entry| can_run(entry)).cloned()
         })?;
@@ -160,7 +160,7 @@
     }
 
     /// Takes a request out, such as one whose caller has gone.
-    pub fn remove(&mut self, request: RequestId, deadline: Instant) -> Option<Waiting> {
+    pub fn remove(&mut self, request: RequestId, deadline: Instant) -> Option<QueuedRequest> {
         let (org, model, class) = self.deadlines.get(&(deadline, request))?.clone();
         let entry = self
             .orgs
@@ -174,7 +174,7 @@
     }
 
     /// Takes out the requests whose deadline has passed.
-    pub fn expire(&mut self, now: Instant) -> Vec<Waiting> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<QueuedRequest> {
         let late: Vec<(Instant, RequestId)> = self
             .deadlines
             .range(..=(now, RequestId::MAX))
@@ -209,7 +209,7 @@
             .sum()
     }
 
-    fn charge(&mut self, entry: &Waiting) {
+    fn charge(&mut self, entry: &QueuedRequest) {
         let Some(queue) = self.orgs.get_mut(&entry.org) else {
             return;
         };
@@ -220,7 +220,7 @@
         self.order.insert((queue.virtual_start, entry.org.clone()));
     }
 
-    fn unlink(&mut self, entry: &Waiting) {
+    fn unlink(&mut self, entry: &QueuedRequest) {
         self.deadlines.remove(&(entry.deadline, entry.request));
         let Some(queue) = self.orgs.get_mut(&entry.org) else {
             return;
@@ -246,6 +246,6 @@
     }
 }
 
-fn urgency(entry: &Waiting) -> Urgency {
+fn urgency(entry: &QueuedRequest) -> Urgency {
     (entry.class, entry.deadline, entry.request)
 }
--- a/crates/apricotwell_admission/src/wait_estimate.rs
+++ b/crates/apricotwell_admission/src/wait_estimate.rs
@@ -17,7 +17,7 @@
 
 impl WaitEstimate {
     /// Notes that a waiting request was given to a server while others still wait.
-    pub fn note_start(&mut self, now: Instant, others_wait: bool) {
+    pub fn record_start(&mut self, now: Instant, others_wait: bool) {
         if let Some(last) = self.last_start {
             let gap = now.saturating_duration_since(last);
             self.gap = if self.samples == 0 {
@@ -32,7 +32,7 @@
     }
 
     /// Returns the expected wait behind `ahead` requests; `None` while too little is known.
-    pub fn wait(&self, ahead: usize) -> Option<Duration> {
+    pub fn expected_wait(&self, ahead: usize) -> Option<Duration> {
         if self.samples < MIN_SAMPLES {
             return None;
         }
--- a/crates/apricotwell_admission/tests/fairness.rs
+++ b/crates/apricotwell_admission/tests/fairness.rs
@@ -2,14 +2,14 @@
 
 use std::time::{Duration, Instant};
 
-use apricotwell_admission::{FairQueue, QueueFull, Waiting};
+use apricotwell_admission::{FairQueue, QueueFull, QueuedRequest};
 use apricotwell_types::WorkClass;
 
 const SERVICE: Duration = Duration::from_millis(10);
 const SLOTS: usize = 4;
 
-fn entry(now: Instant, request: u64, org: &str, class: WorkClass) -> Waiting {
-    Waiting {
+fn entry(now: Instant, request: u64, org: &str, class: WorkClass) -> QueuedRequest {
+    QueuedRequest {
         request,
         org: org.into(),
         model: "m".into(),
@@ -105,7 +105,7 @@
         Err(QueueFull::Instance)
     );
     let late: Vec<u64> = queue
-        .expire(now + Duration::from_secs(60))
+        .remove_expired(now + Duration::from_secs(60))
         .into_iter()
         .map(|entry| entry.request)
         .collect();
--- a/crates/apricotwell_entry/src/settings.rs
+++ b/crates/apricotwell_entry/src/settings.rs
@@ -219,7 +219,7 @@
             token_term_ms: 2_000,
             probe_period_ms: timing.period.as_millis() as u64,
             probe_timeout_ms: timing.timeout.as_millis() as u64,
-            suspicion_ms: timing.suspicion.as_millis() as u64,
+            suspicion_ms: timing.suspicion_timeout.as_millis() as u64,
             report_period_ms: 1_000,
             server_timeout_ms: 10_000,
             load_timeout_ms: 60_000,
@@ -335,7 +335,7 @@
             timing: Timing {
                 period: Duration::from_millis(times.probe_period_ms),
                 timeout: Duration::from_millis(times.probe_timeout_ms),
-                suspicion: Duration::from_millis(times.suspicion_ms),
+                suspicion_timeout: Duration::from_millis(times.suspicion_ms),
                 ..Timing::default()
             },
             seed: incarnation,
--- a/crates/apricotwell_fakes/examples/slopes.rs
+++ b/crates/apricotwell_fakes/examples/slopes.rs
@@ -5,11 +5,11 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use apricotwell_admission::{FairQueue, Waiting};
+use apricotwell_admission::{FairQueue, QueuedRequest};
 use apricotwell_claims::{BodyDigest, ClaimTable};
 use apricotwell_fakes::{World, WorldOptions};
 use apricotwell_limits::{Bucket, Escrow, Rate};
-use apricotwell_placement::{DemandTable, PlacementView, Planner, ServerView, Use};
+use apricotwell_placement::{DemandTable, ModelUsage, PlacementPlanner, PlacementView, ServerView};
 use apricotwell_records::{
     Body, ClaimBody, ClaimRecord, Claimed, Decide, OperatorKey, Put, Record, ServerUp, Settle,
     SettleOutcome, Take,
@@ -258,12 +258,12 @@
         let now = Instant::now();
         let mut demand = DemandTable::new(Duration::from_secs(60));
         for index in 0..4 {
-            let told = Use {
+            let told = ModelUsage {
                 waiting: 1,
                 running: 0,
                 deadline: now + Duration::from_secs(5),
             };
-            demand.note(now, &format!("m{}", models - 1 - index), "entry-1", told);
+            demand.record_usage(now, &format!("m{}", models - 1 - index), "entry-1", told);
         }
         let views = built.state.ledger().servers();
         let servers = views
@@ -292,7 +292,7 @@
                 .is_multiple_of(410)
                 .then_some(1)
         };
-        let mut planner = Planner::default();
+        let mut planner = PlacementPlanner::default();
         let rounds = 20;
         let began = Instant::now();
         for _ in 0..rounds {
@@ -323,13 +323,15 @@
                 server: format!("s{index}").into(),
                 zone: if index % 4 == 0 { "zone-a" } else { "zone-b" }.into(),
                 slots: 1_000_000,
-                ready: now,
+                ready_at: now,
             })
             .collect();
         each(&format!("route among {servers} servers"), 20_000, |index| {
-            if let Some(server) = router.choose(now, &candidates, Some(u64::from(index % 100))) {
+            if let Some(server) =
+                router.select_server(now, &candidates, Some(u64::from(index % 100)))
+            {
                 let server: ServerId = server;
-                router.note_start(&server, Some(u64::from(index % 100)));
+                router.begin_request(&server, Some(u64::from(index % 100)));
             }
         });
     }
@@ -339,7 +341,7 @@
     for (orgs, waiting) in [(5, 100), (5, 2_000), (200, 2_000), (200, 20_000)] {
         let now = Instant::now();
         let mut queue = FairQueue::new(1_000_000);
-        let entry = |request: u64| Waiting {
+        let entry = |request: u64| QueuedRequest {
             request,
             org: format!("o{}", request % orgs).into(),
             model: format!("m{}", request % 7).into(),
--- a/crates/apricotwell_membership/src/lib.rs
+++ b/crates/apricotwell_membership/src/lib.rs
@@ -24,9 +24,11 @@
 mod membership;
 
 pub use member::{Contact, Member, MemberState, Update};
-pub use membership::{Membership, Outgoing, Probe, Timing};
+pub use membership::{Membership, OutgoingMessage, ProbeMessage, Timing};
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
-    pub use crate::{Contact, Member, MemberState, Membership, Outgoing, Probe, Timing, Update};
+    pub use crate::{
+        Contact, Member, MemberState, Membership, OutgoingMessage, ProbeMessage, Timing, Update,
+    };
 }
--- a/crates/apricotwell_membership/src/member.rs
+++ b/crates/apricotwell_membership/src/member.rs
@@ -36,7 +36,7 @@
     /// Start number of its process.
     pub incarnation: Incarnation,
     /// How often it has refuted a suspicion.
-    pub round: u32,
+    pub revision: u32,
     /// State.
     pub state: MemberState,
 }
@@ -49,18 +49,18 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Latest news.
-    pub news: Update,
+    pub update: Update,
     /// When the state was entered.
     pub since: Instant,
     /// Whether the platform's list holds it.
     pub listed: bool,
     /// How often the news have been passed on.
-    pub told: u32,
+    pub transmissions: u32,
 }
 
 impl Update {
     // A leaving member stays leaving when it refutes a suspicion.
     pub(crate) fn rank(&self) -> (Incarnation, u32, MemberState) {
-        (self.incarnation, self.round, self.state)
+        (self.incarnation, self.revision, self.state)
     }
 }
--- a/crates/apricotwell_membership/src/membership.rs
+++ b/crates/apricotwell_membership/src/membership.rs
@@ -26,9 +26,9 @@
     /// Time in which a direct probe must be answered; twice that for an indirect one.
     pub timeout: Duration,
     /// Time in which a suspected member can refute.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Time for which a dead member is remembered.
-    pub memory: Duration,
+    pub dead_retention: Duration,
 }
 
 impl Default for Timing {
@@ -36,15 +36,15 @@
         Self {
             period: Duration::from_millis(200),
             timeout: Duration::from_millis(300),
-            suspicion: Duration::from_millis(1500),
-            memory: Duration::from_secs(60),
+            suspicion_timeout: Duration::from_millis(1500),
+            dead_retention: Duration::from_secs(60),
         }
     }
 }
 
 /// Message between members.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeMessage {
     /// Asks for an answer.
     Ping {
         /// Number that the answer repeats.
@@ -66,13 +66,13 @@
 
 /// Message to send, with news for the receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// Receiver.
     pub to: Contact,
     /// Message.
-    pub probe: Probe,
+    pub message: ProbeMessage,
     /// News.
-    pub news: Vec<Update>,
+    pub updates: Vec<Update>,
 }
 
 #[derive(Debug)]
@@ -109,7 +109,7 @@
         let own = Update {
             contact: me,
             incarnation,
-            round: 0,
+            revision: 0,
             state: MemberState::Alive,
         };
         Self {
@@ -139,19 +139,19 @@
                 .members
                 .entry(contact.id.clone())
                 .or_insert_with(|| Member {
-                    news: Update {
+                    update: Update {
                         contact: contact.clone(),
                         incarnation: 0,
-                        round: 0,
+                        revision: 0,
                         state: MemberState::Alive,
                     },
                     since: now,
                     listed: true,
-                    told: u32::MAX,
+                    transmissions: u32::MAX,
                 });
             member.listed = true;
-            if member.news.state == MemberState::Dead || member.news.incarnation == 0 {
-                member.news.contact.address.clone_from(&contact.address);
+            if member.update.state == MemberState::Dead || member.update.incarnation == 0 {
+                member.update.contact.address.clone_from(&contact.address);
             }
         }
     }
@@ -160,11 +160,11 @@
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
-            .filter(|member| member.news.state != MemberState::Dead)
+            .filter(|member| member.update.state != MemberState::Dead)
     }
 
     /// Returns all known members, dead ones included, this instance left out.
-    pub fn all(&self) -> impl Iterator<Item = &Member> {
+    pub fn all_members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
@@ -174,14 +174,14 @@
     }
 
     /// Returns this instance's own news.
-    pub fn own(&self) -> &Update {
+    pub fn own_update(&self) -> &Update {
         &self.own
     }
 
     /// Announces to every member that this instance drains.
-    pub fn leave(&mut self, now: Instant) -> Vec<Outgoing> {
+    pub fn leave(&mut self, now: Instant) -> Vec<OutgoingMessage> {
         self.own.state = MemberState::Leaving;
-        self.own.round += 1;
+        self.own.revision += 1;
         let ids: Vec<InstanceId> = self.members.keys().cloned().collect();
         ids.into_iter()
             .filter_map(|id| self.ping(now, id, None))
@@ -189,7 +189,7 @@
     }
 
     /// Sends what is due.
-    pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
+    pub fn tick(&mut self, now: Instant) -> Vec<OutgoingMessage> {
         let mut out = Vec::new();
         self.expire_pending(now, &mut out);
         self.expire_members(now);
@@ -203,7 +203,7 @@
     }
 
     /// Returns when the ping was sent that `sender` itself answers with `number`.
-    pub fn ping_sent(&self, number: u64, sender: &str) -> Option<Instant> {
+    pub fn ping_sent_at(&self, number: u64, sender: &str) -> Option<Instant> {
         let pending = self.pending.get(&number)?;
         (*pending.target == *sender).then_some(pending.sent)
     }
@@ -213,25 +213,27 @@
         &mut self,
         now: Instant,
         from: &Update,
-        probe: Probe,
-        news: &[Update],
-    ) -> Vec<Outgoing> {
+        message: ProbeMessage,
+        updates: &[Update],
+    ) -> Vec<OutgoingMessage> {
         self.learn(now, from);
-        for update in news {
+        for update in updates {
             self.learn(now, update);
         }
         let sender = from.contact.clone();
-        match probe {
-            Probe::Ping { number } => vec![self.outgoing(sender, Probe::Ack { number })],
-            Probe::Ack { number } => self.receive_ack(number, &sender.id),
-            Probe::PingFor { number, target } => {
+        match message {
+            ProbeMessage::Ping { number } => {
+                vec![self.outgoing(sender, ProbeMessage::Ack { number })]
+            }
+            ProbeMessage::Ack { number } => self.receive_ack(number, &sender.id),
+            ProbeMessage::PingFor { number, target } => {
                 let asked_by = Some((sender.id, number));
                 self.ping(now, target, asked_by).into_iter().collect()
             }
         }
     }
 
-    fn receive_ack(&mut self, number: u64, sender: &str) -> Vec<Outgoing> {
+    fn receive_ack(&mut self, number: u64, sender: &str) -> Vec<OutgoingMessage> {
         let speaks = |pending: &Pending| pending.asked_helpers || *pending.target == *sender;
         if !self.pending.get(&number).is_some_and(speaks) {
             return Vec::new();
@@ -245,9 +247,9 @@
         let contact = self
             .members
             .get(&asker)
-            .map(|member| member.news.contact.clone());
+            .map(|member| member.update.contact.clone());
         contact
-            .map(|contact| self.outgoing(contact, Probe::Ack { number }))
+            .map(|contact| self.outgoing(contact, ProbeMessage::Ack { number }))
             .into_iter()
             .collect()
     }
@@ -257,8 +259,8 @@
         now: Instant,
         target: InstanceId,
         asked_by: Option<(InstanceId, u64)>,
-    ) -> Option<Outgoing> {
-        let contact = self.members.get(&target)?.news.contact.clone();
+    ) -> Option<OutgoingMessage> {
+        let contact = self.members.get(&target)?.update.contact.clone();
         self.last_number += 1;
         let number = self.last_number;
         let pending = Pending {
@@ -268,7 +270,7 @@
             asked_by,
         };
         self.pending.insert(number, pending);
-        Some(self.outgoing(contact, Probe::Ping { number }))
+        Some(self.outgoing(contact, ProbeMessage::Ping { number }))
     }
 
     // Each member is probed once per round in an order that no two members share.
@@ -286,7 +288,7 @@
         }
     }
 
-    fn expire_pending(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
+    fn expire_pending(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         let timeout = self.timing.timeout;
         let mut silent = Vec::new();
         let mut unanswered = Vec::new();
@@ -313,21 +315,21 @@
     }
 
     // Helpers in other zones come first: they tell a lost zone from a lost member.
-    fn ask_helpers(&mut self, number: u64, target: &InstanceId, out: &mut Vec<Outgoing>) {
+    fn ask_helpers(&mut self, number: u64, target: &InstanceId, out: &mut Vec<OutgoingMessage>) {
         let own_zone = self.own.contact.zone.clone();
         let mut helpers: Vec<(bool, u32, Contact)> = Vec::new();
         for (id, member) in &self.members {
-            if id == target || member.news.state != MemberState::Alive {
+            if id == target || member.update.state != MemberState::Alive {
                 continue;
             }
-            let contact = member.news.contact.clone();
+            let contact = member.update.contact.clone();
             let order = self.random.random();
             helpers.push((contact.zone == own_zone, order, contact));
         }
         helpers.sort_unstable_by_key(|(same_zone, order, _)| (*same_zone, *order));
         for (_, _, helper) in helpers.into_iter().take(HELPERS) {
             let target = target.clone();
-            out.push(self.outgoing(helper, Probe::PingFor { number, target }));
+            out.push(self.outgoing(helper, ProbeMessage::PingFor { number, target }));
         }
     }
 
@@ -335,18 +337,18 @@
         let Some(member) = self.members.get_mut(target) else {
             return;
         };
-        let news = Update {
+        let suspected = Update {
             state: MemberState::Suspect,
-            ..member.news.clone()
+            ..member.update.clone()
         };
-        if member.news.state == MemberState::Alive {
-            member.news = news;
+        if member.update.state == MemberState::Alive {
+            member.update = suspected;
             member.since = now;
-            member.told = 0;
-        } else if member.news.state == MemberState::Leaving {
-            member.news.state = MemberState::Dead;
+            member.transmissions = 0;
+        } else if member.update.state == MemberState::Leaving {
+            member.update.state = MemberState::Dead;
             member.since = now;
-            member.told = 0;
+            member.transmissions = 0;
         }
     }
 
@@ -354,15 +356,15 @@
         let timing = self.timing;
         for member in self.members.values_mut() {
             let age = now.saturating_duration_since(member.since);
-            if member.news.state == MemberState::Suspect && age >= timing.suspicion {
-                member.news.state = MemberState::Dead;
+            if member.update.state == MemberState::Suspect && age >= timing.suspicion_timeout {
+                member.update.state = MemberState::Dead;
                 member.since = now;
-                member.told = 0;
+                member.transmissions = 0;
             }
         }
         self.members.retain(|_, member| {
             let age = now.saturating_duration_since(member.since);
-            member.listed || member.news.state != MemberState::Dead || age < timing.memory
+            member.listed || member.update.state != MemberState::Dead || age < timing.dead_retention
         });
     }
 
@@ -372,21 +374,21 @@
             return;
         }
         match self.members.get_mut(&update.contact.id) {
-            Some(member) if update.rank() > member.news.rank() => {
-                if member.news.state != update.state {
+            Some(member) if update.rank() > member.update.rank() => {
+                if member.update.state != update.state {
                     member.since = now;
                 }
-                member.news = update.clone();
-                member.told = 0;
+                member.update = update.clone();
+                member.transmissions = 0;
             }
             Some(_) => {}
             None if update.state == MemberState::Dead => {}
             None => {
                 let member = Member {
-                    news: update.clone(),
+                    update: update.clone(),
                     since: now,
                     listed: false,
-                    told: 0,
+                    transmissions: 0,
                 };
                 self.members.insert(update.contact.id.clone(), member);
             }
@@ -396,39 +398,43 @@
     fn refute(&mut self, update: &Update) {
         let accuses = matches!(update.state, MemberState::Suspect | MemberState::Dead);
         let current = update.incarnation == self.own.incarnation || update.incarnation == 0;
-        if accuses && current && update.round >= self.own.round {
-            self.own.round = update.round + 1;
+        if accuses && current && update.revision >= self.own.revision {
+            self.own.revision = update.revision + 1;
         }
     }
 
-    fn outgoing(&mut self, to: Contact, probe: Probe) -> Outgoing {
-        let news = self.news_for(&to.id);
-        Outgoing { to, probe, news }
+    fn outgoing(&mut self, to: Contact, message: ProbeMessage) -> OutgoingMessage {
+        let updates = self.updates_for(&to.id);
+        OutgoingMessage {
+            to,
+            message,
+            updates,
+        }
     }
 
     // The least told news come first. What is thought of the receiver always goes along, so that
     // it can refute.
-    fn news_for(&mut self, receiver: &str) -> Vec<Update> {
+    fn updates_for(&mut self, receiver: &str) -> Vec<Update> {
         let limit = TELL_FACTOR * (self.members.len() + 1).ilog2().max(1);
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         if let Some(member) = self.members.get(receiver)
-            && member.news.state != MemberState::Alive
+            && member.update.state != MemberState::Alive
         {
-            news.push(member.news.clone());
+            updates.push(member.update.clone());
         }
         let mut fresh: Vec<(u32, InstanceId)> = self
             .members
             .iter()
-            .filter(|(id, member)| ***id != *receiver && member.told < limit)
-            .map(|(id, member)| (member.told, id.clone()))
+            .filter(|(id, member)| ***id != *receiver && member.transmissions < limit)
+            .map(|(id, member)| (member.transmissions, id.clone()))
             .collect();
         fresh.sort_unstable();
         for (_, id) in fresh.into_iter().take(MAX_NEWS) {
             if let Some(member) = self.members.get_mut(&id) {
-                member.told += 1;
-                news.push(member.news.clone());
+                member.transmissions += 1;
+                updates.push(member.update.clone());
             }
         }
-        news
+        updates
     }
 }
--- a/crates/apricotwell_messages/src/news.rs
+++ b/crates/apricotwell_messages/src/news.rs
@@ -33,7 +33,7 @@
             address: update.contact.address.clone(),
             zone: update.contact.zone.to_string(),
             incarnation: update.incarnation,
-            round: update.round,
+            round: update.revision,
             state: update.state as u32,
         }
     }
@@ -54,7 +54,7 @@
                 zone: self.zone.as_str().into(),
             },
             incarnation: self.incarnation,
-            round: self.round,
+            revision: self.round,
             state,
         })
     }
--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -5,7 +5,7 @@
 use apricotwell_leases::{
     Evidence, Freshness, LeasePlan, LeaseState, LiveMember, OwnLeases, View, plan_leases,
 };
-use apricotwell_membership::{Contact, MemberState, Membership, Outgoing, Probe};
+use apricotwell_membership::{Contact, MemberState, Membership, OutgoingMessage, ProbeMessage};
 use apricotwell_messages::{
     Ack, Envelope, HeardEvidence, LogEvidence, Message, News, Ping, PingFor,
 };
@@ -110,14 +110,14 @@
     /// Returns a peer that is alive and has been in contact, if any.
     pub(crate) fn any_peer(&self) -> Option<Contact> {
         let mut alive = self.membership.members().filter(|member| {
-            member.news.state == MemberState::Alive && member.news.incarnation > 0
+            member.update.state == MemberState::Alive && member.update.incarnation > 0
         });
-        alive.next().map(|member| member.news.contact.clone())
+        alive.next().map(|member| member.update.contact.clone())
     }
 
     pub(crate) fn contact(&self, id: &str) -> Option<Contact> {
         let member = self.membership.get(id)?;
-        Some(member.news.contact.clone())
+        Some(member.update.contact.clone())
     }
 
     pub(crate) fn membership(&self) -> &Membership {
@@ -127,16 +127,16 @@
     /// Returns the ids and zones of the members that accept clients, this one included.
     pub(crate) fn ready_members(&self) -> Vec<(InstanceId, String)> {
         let peers = self.membership.members().filter(|member| {
-            member.news.state == MemberState::Alive && member.news.incarnation > 0
+            member.update.state == MemberState::Alive && member.update.incarnation > 0
         });
         let mut open: Vec<(InstanceId, String)> = peers
             .map(|member| {
-                let contact = &member.news.contact;
+                let contact = &member.update.contact;
                 (contact.id.clone(), contact.zone.to_string())
             })
             .collect();
         if !self.leaving {
-            let own = &self.membership.own().contact;
+            let own = &self.membership.own_update().contact;
             open.push((own.id.clone(), own.zone.to_string()));
         }
         open
@@ -155,9 +155,9 @@
         match self.membership.get(instance) {
             None => true,
             Some(member) => {
-                member.news.incarnation > incarnation
-                    || (member.news.state == MemberState::Dead
-                        && member.news.incarnation == incarnation)
+                member.update.incarnation > incarnation
+                    || (member.update.state == MemberState::Dead
+                        && member.update.incarnation == incarnation)
             }
         }
     }
@@ -190,14 +190,14 @@
             return Vec::new();
         };
         let probe = match &envelope.body {
-            Some(Message::Ping(ping)) => Probe::Ping {
+            Some(Message::Ping(ping)) => ProbeMessage::Ping {
                 number: ping.number,
             },
             Some(Message::Ack(ack)) => {
                 self.apply_evidence(ack.number, &sender.contact.id, envelope);
-                Probe::Ack { number: ack.number }
+                ProbeMessage::Ack { number: ack.number }
             }
-            Some(Message::PingFor(request)) => Probe::PingFor {
+            Some(Message::PingFor(request)) => ProbeMessage::PingFor {
                 number: request.number,
                 target: request.target.as_str().into(),
             },
@@ -212,7 +212,7 @@
     // the local clock. Ages of relayed evidence count from that time, so that no evidence appears
     // newer than it is.
     fn apply_evidence(&mut self, number: u64, peer: &InstanceId, envelope: &Envelope) {
-        let Some(asked) = self.membership.ping_sent(number, peer) else {
+        let Some(asked) = self.membership.ping_sent_at(number, peer) else {
             return;
         };
         if let Some(evidence) = envelope.evidence {
@@ -269,7 +269,7 @@
     /// Wraps a message in an envelope with this instance's membership state and log evidence.
     pub(crate) fn envelope(&self, now: Instant, next: Offset, body: Message) -> Envelope {
         Envelope {
-            sender: Some(News::from_update(self.membership.own())),
+            sender: Some(News::from_update(self.membership.own_update())),
             news: Vec::new(),
             evidence: Some(self.evidence(now, next)),
             heard: Vec::new(),
@@ -293,21 +293,21 @@
         &mut self,
         now: Instant,
         next: Offset,
-        out: Vec<Outgoing>,
+        out: Vec<OutgoingMessage>,
     ) -> Vec<(Contact, Envelope)> {
         let mut envelopes = Vec::new();
         for outgoing in out {
-            let is_answer = matches!(outgoing.probe, Probe::Ack { .. });
-            let body = match outgoing.probe {
-                Probe::Ping { number } => Message::Ping(Ping { number }),
-                Probe::Ack { number } => Message::Ack(Ack { number }),
-                Probe::PingFor { number, target } => Message::PingFor(PingFor {
+            let is_answer = matches!(outgoing.message, ProbeMessage::Ack { .. });
+            let body = match outgoing.message {
+                ProbeMessage::Ping { number } => Message::Ping(Ping { number }),
+                ProbeMessage::Ack { number } => Message::Ack(Ack { number }),
+                ProbeMessage::PingFor { number, target } => Message::PingFor(PingFor {
                     number,
                     target: target.to_string(),
                 }),
             };
             let mut envelope = self.envelope(now, next, body);
-            envelope.news = outgoing.news.iter().map(News::from_update).collect();
+            envelope.news = outgoing.updates.iter().map(News::from_update).collect();
             if is_answer {
                 envelope.heard = self.relay_evidence(now);
             }
@@ -411,7 +411,7 @@
     fn all_answered(&self) -> bool {
         self.listed.iter().all(|id| {
             let member = self.membership.get(id);
-            *id == self.own_id || member.is_some_and(|member| member.news.incarnation > 0)
+            *id == self.own_id || member.is_some_and(|member| member.update.incarnation > 0)
         })
     }
 
@@ -426,12 +426,12 @@
         let mut live: Vec<LiveMember> = self
             .membership
             .members()
-            .filter(|member| member.news.incarnation > 0)
-            .filter(|member| reaches_log(&member.news.contact.id))
+            .filter(|member| member.update.incarnation > 0)
+            .filter(|member| reaches_log(&member.update.contact.id))
             .map(|member| LiveMember {
-                id: member.news.contact.id.clone(),
-                incarnation: member.news.incarnation,
-                draining: member.news.state == MemberState::Leaving,
+                id: member.update.contact.id.clone(),
+                incarnation: member.update.incarnation,
+                draining: member.update.state == MemberState::Leaving,
             })
             .collect();
         live.push(LiveMember {
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -13,7 +13,7 @@
 use apricotwell_leases::{LeaseState, View};
 use apricotwell_membership::{Contact, Member, MemberState};
 use apricotwell_messages::{Envelope, Message};
-use apricotwell_placement::{DemandTable, Planner};
+use apricotwell_placement::{DemandTable, PlacementPlanner};
 use apricotwell_records::{AppendError, Body, LogBatch, ReadError, Record};
 use apricotwell_retry::RetryBudget;
 use apricotwell_routing::Router;
@@ -64,7 +64,7 @@
     servers: ServerRegistry,
     orders: OrderManager,
     demand: DemandTable,
-    planner: Planner,
+    planner: PlacementPlanner,
     recent_records: VecDeque<(Offset, Vec<u8>)>,
     snapshot: CheckpointAssembler,
     last_ticket: u64,
@@ -104,7 +104,7 @@
             servers: ServerRegistry::new(settings.report_period, settings.server_timeout),
             orders: OrderManager::new(settings.load_timeout),
             demand: DemandTable::new(settings.demand_period * DEMAND_PERIODS),
-            planner: Planner::default(),
+            planner: PlacementPlanner::default(),
             recent_records: VecDeque::new(),
             snapshot: CheckpointAssembler::default(),
             last_ticket: 0,
@@ -328,8 +328,8 @@
     /// Returns the status of the instance itself.
     pub(crate) fn instance_status(&self, now: Instant) -> InstanceStatus {
         let member = |member: &Member| {
-            let state = format!("{:?}", member.news.state).to_lowercase();
-            (member.news.contact.id.to_string(), state)
+            let state = format!("{:?}", member.update.state).to_lowercase();
+            (member.update.contact.id.to_string(), state)
         };
         let contact = self.fleet.contact_age(now);
         InstanceStatus {
@@ -343,7 +343,7 @@
             next_offset: self.state.next(),
             requests: self.requests.len(),
             claims: self.claim_coordinator.claims(),
-            members: self.fleet.membership().all().map(member).collect(),
+            members: self.fleet.membership().all_members().map(member).collect(),
         }
     }
 
@@ -459,8 +459,8 @@
         let changed: Vec<(InstanceId, MemberState)> = self
             .fleet
             .membership()
-            .all()
-            .map(|member| (member.news.contact.id.clone(), member.news.state))
+            .all_members()
+            .map(|member| (member.update.contact.id.clone(), member.update.state))
             .filter(|(id, state)| self.member_states.get(id) != Some(state))
             .collect();
         for (id, state) in changed {
--- a/crates/apricotwell_node/src/node/coordination.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -5,7 +5,7 @@
 use prost::Message as _;
 
 use apricotwell_messages::{Message, Reclaim};
-use apricotwell_placement::{PlacementView, Step};
+use apricotwell_placement::{PlacementView, PlanStep};
 use apricotwell_records::{Body, CHECKPOINT_STREAM, Decide, Retire, Take};
 use apricotwell_state::{Replica, chunk_checkpoint};
 use apricotwell_timeline::{Event, EventKind};
@@ -26,9 +26,9 @@
         if let Some(report) = &report {
             let load = apricotwell_routing::LoadReport {
                 requests: report.requests,
-                measured: now.checked_sub(report.load_age).unwrap_or(now),
+                measured_at: now.checked_sub(report.load_age).unwrap_or(now),
             };
-            self.router.note_report(server, load);
+            self.router.record_report(server, load);
         }
         let crashed = self.servers.on_report(now, server, report);
         for digest in crashed {
@@ -56,8 +56,8 @@
             .map(|replica| replica.model.clone());
         if let (OrderKind::Load, Some(model)) = (kind, &model) {
             match outcome {
-                OrderOutcome::Done => self.planner.note_success(model),
-                OrderOutcome::Failed => self.planner.note_failure(now, model),
+                OrderOutcome::Done => self.planner.record_load_success(model),
+                OrderOutcome::Failed => self.planner.record_load_failure(now, model),
                 OrderOutcome::Unknown => {}
             }
         }
@@ -152,7 +152,7 @@
             // A new lease holder does not know when the model was last used, so it assumes now.
             if fence_of(&replica.model).is_some() && self.demand.last_use(&replica.model).is_none()
             {
-                self.demand.touch(now, &replica.model);
+                self.demand.mark_used(now, &replica.model);
             }
         }
         let servers = self.servers.views(now, state);
@@ -172,16 +172,16 @@
         for replica in self.orders.lost(&orders) {
             let record = state.ledger().replica(replica);
             let fence = record.and_then(|record| fence_of(&record.model));
-            steps.extend(fence.map(|fence| Step::Retire { replica, fence }));
+            steps.extend(fence.map(|fence| PlanStep::Retire { replica, fence }));
         }
         for step in steps {
             self.apply_step(now, step);
         }
     }
 
-    fn apply_step(&mut self, now: Instant, step: Step) {
+    fn apply_step(&mut self, now: Instant, step: PlanStep) {
         match step {
-            Step::Decide {
+            PlanStep::Load {
                 model,
                 version,
                 server,
@@ -198,10 +198,10 @@
                     fence,
                 }));
             }
-            Step::Retire { replica, fence } => {
+            PlanStep::Retire { replica, fence } => {
                 self.writer.push(Body::Retire(Retire { replica, fence }));
             }
-            Step::Reclaim { replica } => self.request_reclaim(now, replica),
+            PlanStep::Reclaim { replica } => self.request_reclaim(now, replica),
         }
     }
 
@@ -282,7 +282,7 @@
         let shards = self.settings.genesis.shards;
         let pools: Vec<&str> = self
             .demand
-            .wanted(now)
+            .requested_models(now)
             .iter()
             .filter_map(|model| state.model(model.split(':').next().unwrap_or(model)))
             .map(|model| model.pool.as_str())
--- a/crates/apricotwell_node/src/node/failures.rs
+++ b/crates/apricotwell_node/src/node/failures.rs
@@ -43,7 +43,7 @@
         let may_retry = class.is_repeatable()
             && !outcome.is_partial()
             && attempts < self.settings.max_attempts
-            && self.retry_budgets.entry(key).or_default().withdraw();
+            && self.retry_budgets.entry(key).or_default().try_withdraw();
         if !may_retry {
             self.fail(now, id, outcome);
             return;
@@ -81,7 +81,7 @@
     }
 
     pub(super) fn expire_requests(&mut self, now: Instant) {
-        for entry in self.queue.expire(now) {
+        for entry in self.queue.remove_expired(now) {
             self.refuse_expired(now, entry.request);
         }
         let late: Vec<(RequestId, bool)> = self
@@ -165,7 +165,7 @@
             }
             Stage::Claiming { server } => {
                 self.claim_client.cancel(&request.attempt);
-                self.router.release(server);
+                self.router.cancel_request(server);
             }
             Stage::Running { .. } | Stage::CheckingCrash { .. } => {}
         }
--- a/crates/apricotwell_node/src/node/idempotency.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -48,7 +48,7 @@
                 return;
             }
             ClaimResult::Answered(answer) => {
-                self.router.release(&server);
+                self.router.cancel_request(&server);
                 let name = self.request_name(id);
                 let event = Event::new(EventKind::AnswerReplayed).with_request(name);
                 self.emit(now, event);
@@ -84,7 +84,7 @@
                 .with_retry_after(BUSY_RETRY_DELAY)
             }
         };
-        self.router.release(&server);
+        self.router.cancel_request(&server);
         self.refuse(now, id, refusal);
     }
 
@@ -94,7 +94,7 @@
             return;
         };
         if let Some(refusal) = self.recheck(&request.submission) {
-            self.router.release(&server);
+            self.router.cancel_request(&server);
             self.refuse(now, id, refusal);
             return;
         }
@@ -106,7 +106,7 @@
         match found {
             Some((_, replica)) => self.dispatch(now, id, server, *replica),
             None => {
-                self.router.release(&server);
+                self.router.cancel_request(&server);
                 self.enqueue(now, id);
             }
         }
--- a/crates/apricotwell_node/src/node/peers.rs
+++ b/crates/apricotwell_node/src/node/peers.rs
@@ -6,7 +6,7 @@
     ClaimFinished, Envelope, Message, RecordsAsk, RecordsReply, SnapshotAsk, SnapshotChunk,
     TokenGrant,
 };
-use apricotwell_placement::Use;
+use apricotwell_placement::ModelUsage;
 use apricotwell_records::Retire;
 use apricotwell_state::chunk_checkpoint;
 use apricotwell_types::{BodyDigest, InstanceId, Shard, shard_of};
@@ -42,12 +42,12 @@
             Some(Message::BucketState(state)) => self.tokens.on_bucket_state(&state),
             Some(Message::Demand(demand)) => {
                 for item in demand.items {
-                    let usage = Use {
+                    let usage = ModelUsage {
                         waiting: item.waiting,
                         running: item.running,
                         deadline: now + Duration::from_millis(item.slack_ms),
                     };
-                    self.demand.note(now, &item.model, &from, usage);
+                    self.demand.record_usage(now, &item.model, &from, usage);
                 }
                 self.next_plan = now;
                 self.run_coordination(now);
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use apricotwell_admission::{QueueFull, Waiting};
+use apricotwell_admission::{QueueFull, QueuedRequest};
 use apricotwell_claims::ClaimOutcome;
 use apricotwell_messages::{Demand, DemandItem, Message};
 use apricotwell_routing::Candidate;
@@ -208,7 +208,7 @@
         let estimate = self
             .wait_estimates
             .get(&name)
-            .and_then(|wait| wait.wait(ahead));
+            .and_then(|wait| wait.expected_wait(ahead));
         let left = submission.deadline.saturating_duration_since(now);
         match estimate {
             Some(wait) if ahead > 0 && wait > left => {
@@ -258,7 +258,7 @@
         };
         request.stage = Stage::Queued;
         let submission = &request.submission;
-        let entry = Waiting {
+        let entry = QueuedRequest {
             request: id,
             org: submission.org.clone(),
             model: submission.queue_name(),
@@ -294,7 +294,7 @@
             };
             let others = self.queue.waiting_for(&entry.model) > 0;
             let wait = self.wait_estimates.entry(entry.model.clone()).or_default();
-            wait.note_start(now, others);
+            wait.record_start(now, others);
             self.start_attempt(now, entry.request, server, replica);
         }
     }
@@ -302,7 +302,7 @@
     pub(super) fn choose_server(
         &self,
         now: Instant,
-        entry: &Waiting,
+        entry: &QueuedRequest,
         cache: &mut CandidateCache,
     ) -> Option<(ServerId, Option<ReplicaId>)> {
         let candidates = cache
@@ -316,9 +316,11 @@
         let servers: Vec<Candidate> = candidates
             .iter()
             .map(|(candidate, _)| candidate.clone())
-            .filter(|candidate| !is_suspect || self.router.load(now, &candidate.server) == 0.0)
+            .filter(|candidate| {
+                !is_suspect || self.router.estimated_load(now, &candidate.server) == 0.0
+            })
             .collect();
-        let server = self.router.choose(now, &servers, prefix)?;
+        let server = self.router.select_server(now, &servers, prefix)?;
         let found = candidates
             .iter()
             .find(|(candidate, _)| candidate.server == server)?;
@@ -354,7 +356,7 @@
                     server: replica.server.clone(),
                     zone: server.zone.clone(),
                     slots: pool.slots,
-                    ready: self.orders.first_seen(id).unwrap_or(now),
+                    ready_at: self.orders.first_seen(id).unwrap_or(now),
                 };
                 Some((candidate, Some(id)))
             })
@@ -374,7 +376,7 @@
                     server: server.id.clone(),
                     zone: server.zone.clone(),
                     slots,
-                    ready: self.started,
+                    ready_at: self.started,
                 };
                 (candidate, None)
             })
@@ -400,7 +402,7 @@
             request.submission.idempotency_key,
         );
         let needs_claim = claim.is_some() && !request.claimed;
-        self.router.note_start(&server, prefix);
+        self.router.begin_request(&server, prefix);
         let base = self.request_name(id);
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -451,7 +453,7 @@
             return;
         };
         let Some(address) = address else {
-            self.router.release(&server);
+            self.router.cancel_request(&server);
             self.enqueue(now, id);
             return;
         };
@@ -510,7 +512,7 @@
             outcome,
             AttemptOutcome::Answered { .. } | AttemptOutcome::ClientGone | AttemptOutcome::Failed
         );
-        self.router.note_end(now, server, is_healthy);
+        self.router.end_request(now, server, is_healthy);
         if let AttemptOutcome::NotRun { unreachable: true } = outcome {
             self.servers.mark_unreachable(now, server);
         }
--- a/crates/apricotwell_placement/src/demand.rs
+++ b/crates/apricotwell_placement/src/demand.rs
@@ -7,7 +7,7 @@
 
 /// Use of a model on one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Use {
+pub struct ModelUsage {
     /// Requests waiting.
     pub waiting: u32,
     /// Requests running.
@@ -18,10 +18,10 @@
 
 #[derive(Debug)]
 struct ModelDemand {
-    uses: BTreeMap<InstanceId, (Instant, Use)>,
+    uses: BTreeMap<InstanceId, (Instant, ModelUsage)>,
     last_use: Instant,
     // Smoothed pause between two times of use.
-    usual_gap: Option<Duration>,
+    mean_gap: Option<Duration>,
 }
 
 /// Demand for the models whose shards this instance holds.
@@ -45,19 +45,19 @@
     }
 
     /// Notes what an instance tells of a model.
-    pub fn note(&mut self, now: Instant, model: &str, instance: &str, told: Use) {
+    pub fn record_usage(&mut self, now: Instant, model: &str, instance: &str, told: ModelUsage) {
         let lifetime = self.lifetime;
         let entry = self.entry(now, model);
         let gap = now.saturating_duration_since(entry.last_use);
         if gap > lifetime {
-            entry.usual_gap = Some(entry.usual_gap.map_or(gap, |usual| (usual * 3 + gap) / 4));
+            entry.mean_gap = Some(entry.mean_gap.map_or(gap, |usual| (usual * 3 + gap) / 4));
         }
         entry.last_use = now;
         entry.uses.insert(instance.into(), (now, told));
     }
 
     /// Counts a model as used now, when its history is not known.
-    pub fn touch(&mut self, now: Instant, model: &str) {
+    pub fn mark_used(&mut self, now: Instant, model: &str) {
         self.entry(now, model);
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Returns the earliest deadline among those waiting for a model.
-    pub fn deadline(&self, now: Instant, model: &str) -> Option<Instant> {
+    pub fn earliest_deadline(&self, now: Instant, model: &str) -> Option<Instant> {
         let waiting = self.current(now, model).filter(|told| told.waiting > 0);
         waiting.map(|told| told.deadline).min()
     }
@@ -83,16 +83,16 @@
     }
 
     /// Returns the usual pause between two times of use.
-    pub fn usual_gap(&self, model: &str) -> Option<Duration> {
-        self.models.get(model).and_then(|entry| entry.usual_gap)
+    pub fn mean_gap(&self, model: &str) -> Option<Duration> {
+        self.models.get(model).and_then(|entry| entry.mean_gap)
     }
 
     /// Returns the models with requests waiting, the most urgent first.
-    pub fn wanted(&self, now: Instant) -> Vec<ModelId> {
+    pub fn requested_models(&self, now: Instant) -> Vec<ModelId> {
         let mut wanted: Vec<(Instant, ModelId)> = self
             .models
             .keys()
-            .filter_map(|model| Some((self.deadline(now, model)?, model.clone())))
+            .filter_map(|model| Some((self.earliest_deadline(now, model)?, model.clone())))
             .collect();
         wanted.sort();
         wanted.into_iter().map(|(_, model)| model).collect()
@@ -112,11 +112,11 @@
             .or_insert_with(|| ModelDemand {
                 uses: BTreeMap::new(),
                 last_use: now,
-                usual_gap: None,
+                mean_gap: None,
             })
     }
 
-    fn current(&self, now: Instant, model: &str) -> impl Iterator<Item = &Use> {
+    fn current(&self, now: Instant, model: &str) -> impl Iterator<Item = &ModelUsage> {
         let lifetime = self.lifetime;
         let uses = self.models.get(model).map(|entry| entry.uses.values());
         uses.into_iter()
--- a/crates/apricotwell_placement/src/lib.rs
+++ b/crates/apricotwell_placement/src/lib.rs
@@ -12,17 +12,19 @@
 //!
 //! let now = Instant::now();
 //! let mut demand = DemandTable::new(Duration::from_secs(5));
-//! demand.note(now, "model-a", "entry-1", Use { waiting: 2, running: 0, deadline: now });
+//! demand.record_usage(now, "model-a", "entry-1", ModelUsage { waiting: 2, running: 0, deadline: now });
 //! assert_eq!(demand.waiting(now, "model-a"), 2);
 //! ```
 
 mod demand;
 mod planner;
 
-pub use demand::{DemandTable, Use};
-pub use planner::{PlacementView, Planner, ServerView, Step};
+pub use demand::{DemandTable, ModelUsage};
+pub use planner::{PlacementPlanner, PlacementView, PlanStep, ServerView};
 
 /// What nearly every user of the crate needs.
 pub mod prelude {
-    pub use crate::{DemandTable, PlacementView, Planner, ServerView, Step, Use};
+    pub use crate::{
+        DemandTable, ModelUsage, PlacementPlanner, PlacementView, PlanStep, ServerView,
+    };
 }
--- a/crates/apricotwell_placement/src/planner.rs
+++ b/crates/apricotwell_placement/src/planner.rs
@@ -43,9 +43,9 @@
 
 /// Step of a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum PlanStep {
     /// Load a replica.
-    Decide {
+    Load {
         /// Model or adapter.
         model: ModelId,
         /// Version.
@@ -71,7 +71,7 @@
 
 /// Plans for the models whose shards this instance holds.
 #[derive(Debug, Default)]
-pub struct Planner {
+pub struct PlacementPlanner {
     // Why a wanted model is not being loaded, for operators.
     reasons: BTreeMap<ModelId, String>,
     failures: BTreeMap<ModelId, Failure>,
@@ -86,19 +86,19 @@
 struct Budget {
     models: usize,
     adapters: usize,
-    steps: Vec<Step>,
+    steps: Vec<PlanStep>,
     // Memory that earlier steps of this plan take.
     taken: BTreeMap<ServerId, Mebibytes>,
 }
 
-impl Planner {
+impl PlacementPlanner {
     /// Returns why a wanted model is not being loaded.
     pub fn reason(&self, model: &str) -> Option<&str> {
         self.reasons.get(model).map(String::as_str)
     }
 
     /// Notes a load that its server failed; the model is not loaded again for a while.
-    pub fn note_failure(&mut self, now: Instant, model: &str) {
+    pub fn record_load_failure(&mut self, now: Instant, model: &str) {
         let failure = self.failures.entry(model.into()).or_insert(Failure {
             count: 0,
             retry: now,
@@ -109,12 +109,12 @@
     }
 
     /// Notes a load that succeeded.
-    pub fn note_success(&mut self, model: &str) {
+    pub fn record_load_success(&mut self, model: &str) {
         self.failures.remove(model);
     }
 
     /// Plans the next steps; `fence_of` gives the fence of a model that is held right now.
-    pub fn plan<F>(&mut self, now: Instant, view: &PlacementView<'_>, fence_of: F) -> Vec<Step>
+    pub fn plan<F>(&mut self, now: Instant, view: &PlacementView<'_>, fence_of: F) -> Vec<PlanStep>
     where
         F: Fn(&str) -> Option<Fence>,
     {
@@ -155,7 +155,7 @@
     where
         F: Fn(&str) -> Option<Fence>,
     {
-        let mut wanted = view.demand.wanted(now);
+        let mut wanted = view.demand.requested_models(now);
         // An adapter waits for its base model first.
         let bases: Vec<ModelId> = wanted
             .iter()
@@ -218,7 +218,7 @@
             Some(server) => {
                 *slots -= 1;
                 *budget.taken.entry(server.clone()).or_default() += memory;
-                budget.steps.push(Step::Decide {
+                budget.steps.push(PlanStep::Load {
                     model: model.clone(),
                     version,
                     server,
@@ -270,7 +270,7 @@
         });
         let is_rolling = count_present(view, model, version) == 0;
         if is_rolling && let Some((replica, _)) = old.next() {
-            budget.steps.push(Step::Retire { replica, fence });
+            budget.steps.push(PlanStep::Retire { replica, fence });
             self.reasons.insert(
                 model.clone(),
                 "a replica of the old version makes room; set max_replicas above the replicas in \
@@ -344,8 +344,8 @@
             return;
         };
         budget.steps.push(match fence_of(&record.model) {
-            Some(fence) => Step::Retire { replica, fence },
-            None => Step::Reclaim { replica },
+            Some(fence) => PlanStep::Retire { replica, fence },
+            None => PlanStep::Reclaim { replica },
         });
     }
 
@@ -370,7 +370,7 @@
             };
             let is_extra = is_beyond_limit(view, replica, budget);
             if is_extra || is_superseded(view, replica) || is_surplus(now, view, replica) {
-                budget.steps.push(Step::Retire { replica: id, fence });
+                budget.steps.push(PlanStep::Retire { replica: id, fence });
             }
         }
     }
@@ -409,7 +409,7 @@
 }
 
 fn adapters_wait(now: Instant, view: &PlacementView<'_>, base: &str) -> bool {
-    let wanted = view.demand.wanted(now);
+    let wanted = view.demand.requested_models(now);
     wanted.iter().any(|model| {
         model
             .split_once(':')
@@ -522,7 +522,8 @@
     };
     let ledger = view.state.ledger();
     let goes = |id: ReplicaId| {
-        let retires = |step: &Step| matches!(step, Step::Retire { replica, .. } if *replica == id);
+        let retires =
+            |step: &PlanStep| matches!(step, PlanStep::Retire { replica, .. } if *replica == id);
         budget.steps.iter().any(retires)
     };
     let loaded = ledger
@@ -563,7 +564,7 @@
         return false;
     };
     let keep = Duration::from_secs(u64::from(settings.keep_warm_s));
-    let usual = view.demand.usual_gap(&replica.model);
+    let usual = view.demand.mean_gap(&replica.model);
     let keep = match usual {
         Some(gap) if gap <= keep * GAP_MULTIPLE => keep.max(gap + gap / 4),
         _ => keep,
--- a/crates/apricotwell_retry/src/lib.rs
+++ b/crates/apricotwell_retry/src/lib.rs
@@ -6,11 +6,11 @@
 //! use apricotwell_retry::prelude::*;
 //!
 //! let mut budget = RetryBudget::default();
-//! assert!(!budget.withdraw());
+//! assert!(!budget.try_withdraw());
 //! for _ in 0..10 {
 //!     budget.deposit();
 //! }
-//! assert!(budget.withdraw());
+//! assert!(budget.try_withdraw());
 //! ```
 
 use std::time::Duration;
@@ -41,7 +41,7 @@
     }
 
     /// Takes one retry, if the budget has it.
-    pub fn withdraw(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let Some(left) = self.saved.checked_sub(RETRY_HUNDREDTHS) else {
             return false;
         };
--- a/crates/apricotwell_routing/src/health.rs
+++ b/crates/apricotwell_routing/src/health.rs
@@ -11,21 +11,21 @@
 
 /// Health of one server as seen by this instance.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct ServerHealth {
     failures: u32,
     ejections: u32,
     until: Option<Instant>,
 }
 
-impl Health {
+impl ServerHealth {
     /// Notes a request that the server answered.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.ejections = 0;
     }
 
     /// Notes a request that the server failed.
-    pub fn note_failure(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures < MAX_FAILURES {
             return;
--- a/crates/apricotwell_routing/src/lib.rs
+++ b/crates/apricotwell_routing/src/lib.rs
@@ -13,17 +13,17 @@
 //! let now = Instant::now();
 //! let mut router = Router::new("zone-a".into());
 //! let servers = [
-//!     Candidate { server: "engine-1".into(), zone: "zone-b".into(), slots: 4, ready: now },
-//!     Candidate { server: "engine-2".into(), zone: "zone-a".into(), slots: 4, ready: now },
+//!     Candidate { server: "engine-1".into(), zone: "zone-b".into(), slots: 4, ready_at: now },
+//!     Candidate { server: "engine-2".into(), zone: "zone-a".into(), slots: 4, ready_at: now },
 //! ];
-//! assert_eq!(router.choose(now, &servers, None).as_deref(), Some("engine-2"));
+//! assert_eq!(router.select_server(now, &servers, None).as_deref(), Some("engine-2"));
 //! ```
 
 mod health;
 mod prefix;
 mod router;
 
-pub use health::Health;
+pub use health::ServerHealth;
 pub use prefix::{PrefixKey, PrefixMap, prefix_key};
 pub use router::{Candidate, LoadReport, Router};
 
--- a/crates/apricotwell_routing/src/prefix.rs
+++ b/crates/apricotwell_routing/src/prefix.rs
@@ -60,7 +60,7 @@
     }
 
     /// Forgets all of a server, after a gap in its events or its restart.
-    pub fn forget_server(&mut self, server: &str) {
+    pub fn remove_server(&mut self, server: &str) {
         self.servers.retain(|_, known| **known != *server);
         self.ages.retain(|key| self.servers.contains_key(key));
     }
--- a/crates/apricotwell_routing/src/router.rs
+++ b/crates/apricotwell_routing/src/router.rs
@@ -4,7 +4,7 @@
 
 use apricotwell_types::{Map, ServerId, ZoneId};
 
-use crate::health::Health;
+use crate::health::ServerHealth;
 use crate::prefix::{PrefixKey, PrefixMap};
 
 /// Cost of another zone, as a share of a full server.
@@ -30,7 +30,7 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// When its replica became ready.
-    pub ready: Instant,
+    pub ready_at: Instant,
 }
 
 /// Load as a server reported it.
@@ -39,7 +39,7 @@
     /// Requests running and waiting on the server.
     pub requests: u32,
     /// When the server measured it, by this instance's clock.
-    pub measured: Instant,
+    pub measured_at: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -48,7 +48,7 @@
     // Own requests in flight when the report was measured.
     own_at_report: u32,
     report: Option<LoadReport>,
-    health: Health,
+    health: ServerHealth,
 }
 
 /// Chooses servers by load, zone, prefix and health.
@@ -70,7 +70,7 @@
     }
 
     /// Returns the best server with a free slot.
-    pub fn choose(
+    pub fn select_server(
         &self,
         now: Instant,
         candidates: &[Candidate],
@@ -88,7 +88,7 @@
             if !ignore_health && self.is_ejected(now, &candidate.server) {
                 continue;
             }
-            let load = self.load(now, &candidate.server);
+            let load = self.estimated_load(now, &candidate.server);
             if load >= f64::from(candidate.slots) {
                 continue;
             }
@@ -101,7 +101,7 @@
     }
 
     /// Returns the estimated number of requests on a server.
-    pub fn load(&self, now: Instant, server: &str) -> f64 {
+    pub fn estimated_load(&self, now: Instant, server: &str) -> f64 {
         let Some(view) = self.servers.get(server) else {
             return 0.0;
         };
@@ -109,7 +109,7 @@
         let Some(report) = view.report else {
             return own;
         };
-        if now.saturating_duration_since(report.measured) > REPORT_LIFETIME {
+        if now.saturating_duration_since(report.measured_at) > REPORT_LIFETIME {
             return own;
         }
         let others = report.requests.saturating_sub(view.own_at_report);
@@ -117,7 +117,7 @@
     }
 
     /// Notes a request given to a server.
-    pub fn note_start(&mut self, server: &ServerId, prefix: Option<PrefixKey>) {
+    pub fn begin_request(&mut self, server: &ServerId, prefix: Option<PrefixKey>) {
         self.servers.entry(server.clone()).or_default().own += 1;
         if let Some(prefix) = prefix {
             self.prefixes.insert(prefix, server.clone());
@@ -125,35 +125,35 @@
     }
 
     /// Notes the end of a request on a server.
-    pub fn note_end(&mut self, now: Instant, server: &str, answered: bool) {
+    pub fn end_request(&mut self, now: Instant, server: &str, answered: bool) {
         let Some(view) = self.servers.get_mut(server) else {
             return;
         };
         view.own = view.own.saturating_sub(1);
         if answered {
-            view.health.note_success();
+            view.health.record_success();
         } else {
-            view.health.note_failure(now);
+            view.health.record_failure(now);
         }
     }
 
     /// Takes back a start: the request was not given to the server after all.
-    pub fn release(&mut self, server: &str) {
+    pub fn cancel_request(&mut self, server: &str) {
         if let Some(view) = self.servers.get_mut(server) {
             view.own = view.own.saturating_sub(1);
         }
     }
 
     /// Notes a load report.
-    pub fn note_report(&mut self, server: &ServerId, report: LoadReport) {
+    pub fn record_report(&mut self, server: &ServerId, report: LoadReport) {
         let view = self.servers.entry(server.clone()).or_default();
         view.own_at_report = view.own;
         view.report = Some(report);
     }
 
     /// Forgets a server's caches, after a gap in its events or its restart.
-    pub fn forget_prefixes(&mut self, server: &str) {
-        self.prefixes.forget_server(server);
+    pub fn remove_prefixes(&mut self, server: &str) {
+        self.prefixes.remove_server(server);
     }
 
     /// Returns this instance's requests in flight on a server.
@@ -180,7 +180,7 @@
         if cached == Some(&candidate.server) {
             score -= PREFIX_GAIN;
         }
-        let age = now.saturating_duration_since(candidate.ready);
+        let age = now.saturating_duration_since(candidate.ready_at);
         if age < RAMP && load > 0.0 {
             score += RAMP_COST * (1.0 - age.as_secs_f64() / RAMP.as_secs_f64());
         }
