--- a/crates/apricotwell_logging/src/lib.rs
+++ b/crates/apricotwell_logging/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines and the file of timeline events.
+//! Logging as JSON lines, and the file of timeline events.
 //!
 //! # Examples
 //!
@@ -22,7 +22,7 @@
 pub enum InitError {
     /// The level is unknown.
     UnknownLevel(String),
-    /// Another logger is set.
+    /// A logger was already set.
     AlreadySet,
 }
 
@@ -31,27 +31,28 @@
         match self {
             InitError::UnknownLevel(level) => write!(
                 f,
-                "`{level}` is no log level; use off, error, warn, info, debug or trace"
+                "`{level}` is not a log level; use off, error, warn, info, debug or trace"
             ),
-            InitError::AlreadySet => f.write_str("a logger is set already; set only one"),
+            InitError::AlreadySet => f.write_str("a logger is already set; set only one"),
         }
     }
 }
 
 impl std::error::Error for InitError {}
 
-/// Sends the logs of this process to the standard error stream, one JSON object a line.
+/// Writes the logs of this process to standard error, one JSON object per line.
 ///
 /// # Errors
 ///
-/// Fails when the level is unknown or a logger is set already.
+/// Fails when the level is unknown or a logger is already set.
 pub fn init(instance: &str, level: &str) -> Result<(), InitError> {
     let filter =
         log::LevelFilter::from_str(level).map_err(|_| InitError::UnknownLevel(level.to_owned()))?;
     let instance = instance.to_owned();
     fern::Dispatch::new()
         .level(filter)
-        // Libraries speak only of faults: their lower levels can hold headers of callers.
+        // Of other crates only warnings and errors are logged: their lower levels can contain
+        // request headers.
         .filter(|metadata| {
             metadata.target().starts_with("apricotwell") || metadata.level() <= log::Level::Warn
         })
@@ -83,7 +84,7 @@
 }
 
 impl EventFile {
-    /// Opens the file for appending; without a path events are dropped.
+    /// Opens the file for appending; without a path, events are dropped.
     ///
     /// # Errors
     ///
@@ -103,7 +104,7 @@
         self.file.is_some()
     }
 
-    /// Writes events, each as one line.
+    /// Appends events, one per line. If that fails, they are lost and a warning is logged.
     pub fn write(&self, events: &[Event]) {
         let Some(file) = &self.file else {
             return;
--- a/crates/apricotwell_messages/src/claims.rs
+++ b/crates/apricotwell_messages/src/claims.rs
@@ -1,8 +1,8 @@
-//! Messages on idempotency keys.
+//! Messages about idempotency keys.
 
 use apricotwell_records::Finished;
 
-/// Asks a claim shard's holder for an idempotency key.
+/// Requests an idempotency key from a claim shard's lease holder.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ClaimRequest {
     /// Digest of the organisation and the idempotency key.
@@ -11,54 +11,54 @@
     /// Digest of the organisation and the body.
     #[prost(bytes = "vec", tag = "2")]
     pub body: Vec<u8>,
-    /// Attempt that wants to dispatch.
+    /// Attempt that is to dispatch the request.
     #[prost(string, tag = "3")]
     pub attempt: String,
 }
 
-/// What an attempt may do.
+/// Decision on a claim request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ClaimVerdict {
-    /// Not one that this version knows.
+    /// Unset or unknown to this version.
     Unspecified = 0,
-    /// The attempt may dispatch once.
+    /// The attempt may dispatch the request once.
     Granted = 1,
-    /// Another attempt holds the key and has not ended.
+    /// Another attempt holds the key and has not finished.
     Held = 2,
-    /// An attempt with the key ended; the reply tells how.
+    /// An attempt with the key finished; the reply contains its outcome.
     Ended = 3,
-    /// The key came with another body.
+    /// The key was used before with a different body.
     OtherBody = 4,
-    /// The receiver does not hold the shard.
+    /// The receiver does not hold the shard's lease.
     NotHolder = 5,
-    /// The log took no record; nothing has run.
+    /// The log accepted no record; nothing has run.
     Unavailable = 6,
 }
 
-/// Answers a claim.
+/// Replies to a claim request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ClaimReply {
     /// Attempt.
     #[prost(string, tag = "1")]
     pub attempt: String,
-    /// Verdict.
+    /// Decision.
     #[prost(enumeration = "ClaimVerdict", tag = "2")]
     pub verdict: i32,
-    /// How the attempt with the key ended.
+    /// Outcome of the attempt that finished with the key.
     #[prost(message, optional, tag = "3")]
     pub finished: Option<Finished>,
 }
 
-/// Tells how a claimed attempt ended.
+/// Reports the outcome of a claimed attempt.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ClaimFinish {
-    /// How it ended.
+    /// Outcome.
     #[prost(message, optional, tag = "1")]
     pub finished: Option<Finished>,
 }
 
-/// Confirms that the end of an attempt is recorded.
+/// Confirms that the outcome of an attempt is recorded.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ClaimFinishAck {
     /// Attempt.
--- a/crates/apricotwell_messages/src/envelope.rs
+++ b/crates/apricotwell_messages/src/envelope.rs
@@ -6,19 +6,19 @@
 use crate::member_update::MemberUpdate;
 use crate::tokens::{BucketState, TokenGrant, TokenRequest};
 
-/// Envelope of each message.
+/// Envelope around each message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
-    /// Sender.
+    /// Membership state of the sender.
     #[prost(message, optional, tag = "1")]
     pub sender: Option<MemberUpdate>,
     /// Updates about other members.
     #[prost(message, repeated, tag = "2")]
     pub updates: Vec<MemberUpdate>,
-    /// What the sender has read of the log.
+    /// Sender's view of the log.
     #[prost(message, optional, tag = "3")]
     pub evidence: Option<LogEvidence>,
-    /// What other members said of the log, on answers to pings only.
+    /// Other members' views of the log; sent only with replies to pings.
     #[prost(message, repeated, tag = "4")]
     pub relayed: Vec<RelayedEvidence>,
     /// Message; `None` for a kind that this version does not know.
@@ -35,7 +35,7 @@
         self.encode_to_vec()
     }
 
-    /// Returns the bytes that the envelope takes.
+    /// Returns the encoded size in bytes.
     pub fn size(&self) -> usize {
         self.encoded_len()
     }
@@ -46,102 +46,105 @@
     }
 }
 
-/// What an instance has read of the log.
+/// How far an instance has read the log, and how recently.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LogEvidence {
     /// First offset of the control stream that it has not applied.
     #[prost(uint64, tag = "1")]
     pub next: u64,
-    /// Milliseconds since its view was last confirmed; absent when it never was.
+    /// Milliseconds since its view was last confirmed; absent if it never was.
     #[prost(uint64, optional, tag = "2")]
     pub view_age_ms: Option<u64>,
-    /// Milliseconds since it last reached the log itself, not through a peer.
+    /// Milliseconds since it last reached the log directly, not through a peer; absent if it never
+    /// did.
     #[prost(uint64, optional, tag = "3")]
     pub log_contact_ms: Option<u64>,
 }
 
-/// What another member said of the log.
+/// View of the log that another member reported to the sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RelayedEvidence {
     /// Member.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// First offset that it has not applied.
+    /// First offset of the control stream that the member has not applied.
     #[prost(uint64, tag = "2")]
     pub next: u64,
-    /// Milliseconds since the exchange in which it said so began.
+    /// Milliseconds since the start of the exchange in which the member reported it.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
-    /// Milliseconds between its last confirmed contact and that exchange; absent without any.
+    /// Milliseconds from the last confirmation of the member's view to that exchange; absent if
+    /// there was none.
     #[prost(uint64, optional, tag = "4")]
     pub view_age_ms: Option<u64>,
-    /// The same for its last contact with the log itself.
+    /// Milliseconds from its last direct contact with the log to that exchange; absent if there was
+    /// none.
     #[prost(uint64, optional, tag = "5")]
     pub log_contact_ms: Option<u64>,
 }
 
-/// Kinds of messages.
+/// Content of a message.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Message {
-    /// Asks for an answer.
+    /// Probes the receiver.
     #[prost(message, tag = "10")]
     Ping(Ping),
-    /// Answers a ping.
+    /// Acknowledges a ping.
     #[prost(message, tag = "11")]
     Ack(Ack),
     /// Asks the receiver to ping another member.
     #[prost(message, tag = "12")]
     PingFor(PingFor),
-    /// Asks an organisation's holder for tokens.
+    /// Requests tokens from an organisation's lease holder.
     #[prost(message, tag = "13")]
     TokenRequest(TokenRequest),
-    /// Lends tokens.
+    /// Grants tokens.
     #[prost(message, tag = "14")]
     TokenGrant(TokenGrant),
-    /// Hands over a bucket.
+    /// Transfers a token bucket to the next lease holder.
     #[prost(message, tag = "15")]
     BucketState(BucketState),
-    /// Tells a model's holder who waits.
+    /// Reports demand to a model's lease holder.
     #[prost(message, tag = "16")]
     Demand(Demand),
-    /// Asks a model's holder to unload an idle replica.
+    /// Asks a model's lease holder to unload an idle replica.
     #[prost(message, tag = "17")]
     Reclaim(Reclaim),
-    /// Asks a claim shard's holder for an idempotency key.
+    /// Requests an idempotency key from a claim shard's lease holder.
     #[prost(message, tag = "18")]
     ClaimRequest(ClaimRequest),
-    /// Answers a claim.
+    /// Replies to a claim request.
     #[prost(message, tag = "19")]
     ClaimReply(ClaimReply),
-    /// Tells how a claimed attempt ended.
+    /// Reports the outcome of a claimed attempt.
     #[prost(message, tag = "20")]
     ClaimFinish(ClaimFinish),
-    /// Confirms that the end is recorded.
+    /// Confirms that the outcome is recorded.
     #[prost(message, tag = "21")]
     ClaimFinishAck(ClaimFinishAck),
-    /// Asks for records of the control stream.
+    /// Requests records of the control stream.
     #[prost(message, tag = "22")]
     RecordsRequest(RecordsRequest),
-    /// Passes records of the control stream on.
+    /// Returns records of the control stream.
     #[prost(message, tag = "23")]
     RecordsReply(RecordsReply),
-    /// Asks for a snapshot of the state.
+    /// Requests a snapshot of the state.
     #[prost(message, tag = "24")]
     SnapshotRequest(SnapshotRequest),
-    /// Piece of a snapshot.
+    /// Chunk of a snapshot.
     #[prost(message, tag = "25")]
     SnapshotChunk(SnapshotChunk),
 }
 
-/// Asks for an answer.
+/// Probes the receiver, which replies with an [`Ack`].
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Ping {
-    /// Number that the answer repeats.
+    /// Number that the reply repeats.
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
 
-/// Answers a ping.
+/// Acknowledges a ping.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Ack {
     /// Number of the ping.
@@ -152,7 +155,7 @@
 /// Asks the receiver to ping another member.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PingFor {
-    /// Number that the answer repeats.
+    /// Number that the reply repeats.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// Member to ping.
@@ -160,32 +163,32 @@
     pub target: String,
 }
 
-/// Tells a model's holder who waits and who runs.
+/// Reports demand to a model's lease holder.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Demand {
-    /// One item for each model of that holder in use.
+    /// One item for each model of that holder that is in use.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<DemandItem>,
 }
 
-/// Use of one model on one instance.
+/// Demand for one model at one instance.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DemandItem {
     /// Model, or `model:adapter`.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// Requests waiting.
+    /// Queued requests.
     #[prost(uint32, tag = "2")]
     pub waiting: u32,
-    /// Requests running.
+    /// Running requests.
     #[prost(uint32, tag = "3")]
     pub running: u32,
-    /// Milliseconds until the earliest deadline among those waiting.
+    /// Milliseconds until the earliest deadline of the queued requests.
     #[prost(uint64, tag = "4")]
     pub slack_ms: u64,
 }
 
-/// Asks a model's holder to unload an idle replica.
+/// Asks a model's lease holder to unload an idle replica.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Reclaim {
     /// Replica.
@@ -193,15 +196,15 @@
     pub replica: u64,
 }
 
-/// Asks for records of the control stream.
+/// Requests records of the control stream.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct RecordsRequest {
-    /// First offset wanted.
+    /// First requested offset.
     #[prost(uint64, tag = "1")]
     pub from: u64,
 }
 
-/// Passes records of the control stream on.
+/// Returns records of the control stream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RecordsReply {
     /// Offset of the first record.
@@ -212,11 +215,11 @@
     pub records: Vec<Vec<u8>>,
 }
 
-/// Asks for a snapshot of the state.
+/// Requests a snapshot of the state.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct SnapshotRequest {}
 
-/// Piece of a snapshot, in the form of a checkpoint chunk.
+/// Chunk of a snapshot, encoded like a checkpoint chunk.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SnapshotChunk {
     /// Encoded `CheckpointChunk`.
--- a/crates/apricotwell_messages/src/feeds.rs
+++ b/crates/apricotwell_messages/src/feeds.rs
@@ -1,109 +1,110 @@
-//! What instances tell each other of the store's feeds, so that few of them have to read it.
+//! Messages that share the store's feeds between instances, so that few of them read the store.
 //!
-//! An answer states how old the answering instance's view is. As the asking instance knows when it
-//! asked, lost, late and repeated answers are harmless.
+//! A response states the age of the responder's view. The requester knows when it sent the query,
+//! so lost, late and duplicate responses are harmless.
 
 use crate::heartbeat::{Heartbeat, HeldModel, InventoryUpdate};
 
-/// Question what came on a feed after an offset.
+/// Query for the changes on a feed after an offset.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FeedQuery {
-    /// Number that the answer repeats.
+    /// Number that the response repeats.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Whether the list of servers is asked for, otherwise the configuration.
+    /// Whether the query is for the server list; otherwise it is for the configuration.
     #[prost(bool, tag = "2")]
     pub servers: bool,
-    /// Offset up to which the asking instance knows the feed.
+    /// Offset up to which the requester knows the feed.
     #[prost(uint64, tag = "3")]
     pub from: u64,
 }
 
-/// Answer to a question about a feed.
+/// Response to a [`FeedQuery`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FeedResponse {
-    /// Number of the question.
+    /// Number of the query.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Whether the answer brings all that came between the two offsets.
+    /// Whether the response contains all changes from the query's offset to `next`.
     #[prost(bool, tag = "2")]
     pub complete: bool,
-    /// Offset up to which the answering instance knows the feed.
+    /// Offset up to which the responder knows the feed; if `more` is set, the offset up to which
+    /// the response contains the changes.
     #[prost(uint64, tag = "3")]
     pub next: u64,
-    /// Milliseconds since it knew that nothing came after that offset.
+    /// Age of the responder's view in milliseconds, rounded up.
     #[prost(uint32, tag = "4")]
     pub age_ms: u32,
-    /// Changes of the list of servers.
+    /// Changes to the server list.
     #[prost(message, repeated, tag = "5")]
     pub servers: Vec<ServerChange>,
-    /// Whether more changes are left for a further question.
+    /// Whether more changes remain for another query.
     #[prost(bool, tag = "6")]
     pub more: bool,
 }
 
-/// Change of one server's entry in the list.
+/// Change of one entry in the server list.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServerChange {
     /// Server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Entry; missing if the server left the list.
+    /// New entry; absent if the server was removed from the list.
     #[prost(message, optional, tag = "2")]
     pub entry: Option<ServerEntry>,
 }
 
-/// Entry of a server in the list.
+/// Entry of a server in the server list.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServerEntry {
     /// Service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Address for requests and orders.
+    /// Address for requests and for load and unload orders.
     #[prost(string, tag = "2")]
     pub address: String,
     /// Zone.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     #[prost(uint32, tag = "4")]
     pub slots: u32,
     /// Whether it takes no new work.
     #[prost(bool, tag = "5")]
     pub draining: bool,
-    /// Milliseconds until it is gone, if it was given notice.
+    /// Milliseconds until it shuts down; absent if no shutdown was announced.
     #[prost(uint32, optional, tag = "6")]
     pub remaining_ms: Option<u32>,
     /// Start of its process, in milliseconds since the epoch.
     #[prost(uint64, tag = "7")]
     pub started_ms: u64,
-    /// Orders that it had accepted, 0 where that isn't known.
+    /// Number of orders that it has accepted; 0 if unknown.
     #[prost(uint64, tag = "8")]
     pub orders: u64,
-    /// Models that it can run.
+    /// Models and adapters that are ready to run.
     #[prost(message, repeated, tag = "9")]
     pub models: Vec<HeldModel>,
-    /// Models whose weights it has in memory.
+    /// Models with weights in memory.
     #[prost(string, repeated, tag = "10")]
     pub in_memory: Vec<String>,
-    /// Models whose weights it has on disk.
+    /// Models with weights on disk.
     #[prost(string, repeated, tag = "11")]
     pub on_disk: Vec<String>,
 }
 
-/// Datagram between instances; one part of it is set.
+/// Datagram between instances; exactly one field is set.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Datagram {
     /// Heartbeat.
     #[prost(message, optional, tag = "1")]
     pub heartbeat: Option<Heartbeat>,
-    /// Question about a feed.
+    /// Query about a feed.
     #[prost(message, optional, tag = "2")]
     pub query: Option<FeedQuery>,
-    /// Answer to one.
+    /// Response to such a query.
     #[prost(message, optional, tag = "3")]
     pub response: Option<FeedResponse>,
-    /// What servers hold.
+    /// Inventories of backend servers.
     #[prost(message, optional, tag = "4")]
     pub inventory: Option<InventoryUpdate>,
 }
--- a/crates/apricotwell_messages/src/heartbeat.rs
+++ b/crates/apricotwell_messages/src/heartbeat.rs
@@ -1,9 +1,9 @@
-//! Heartbeats between instances that find each other through the platform's store.
+//! Heartbeats between instances that discover each other through the platform's store.
 //!
-//! A heartbeat states a whole view rather than a change, so lost, late and repeated ones are
-//! harmless: `incarnation` and `number` order the heartbeats of one instance.
+//! A heartbeat contains complete values rather than changes, so lost, late and duplicate heartbeats
+//! are harmless: `incarnation` and `number` order the heartbeats of one instance.
 
-/// Requests of one instance in flight on one backend server.
+/// Number of one instance's requests in flight on one backend server.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServerUse {
     /// Backend server.
@@ -14,16 +14,16 @@
     pub requests: u32,
 }
 
-/// Tokens of one organisation spent at one instance.
+/// Tokens that one organisation spent at one instance.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Spending {
     /// Organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
-    /// Tokens spent since the instance's start.
+    /// Tokens spent since the instance started.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
-    /// Tokens that the whole fleet spent in the last window, as far as the instance knows.
+    /// Tokens spent at all instances in the last window, as far as this instance knows.
     #[prost(uint64, tag = "3")]
     pub fleet_tokens: u64,
 }
@@ -31,7 +31,7 @@
 /// Demand for one model or adapter at one instance.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ModelUse {
-    /// Service that runs it.
+    /// Service that serves it.
     #[prost(string, tag = "1")]
     pub service: String,
     /// Model.
@@ -40,18 +40,18 @@
     /// Adapter; empty for none.
     #[prost(string, tag = "3")]
     pub adapter: String,
-    /// Requests that wait for it.
+    /// Requests queued for it.
     #[prost(uint32, tag = "4")]
     pub waiting: u32,
-    /// Requests in a thousand seconds, smoothed.
+    /// Smoothed rate in requests per 1000 seconds.
     #[prost(uint32, tag = "5")]
     pub rate: u32,
-    /// Milliseconds until the first waiting caller gives up.
+    /// Milliseconds until the first queued request times out; 0 if none is queued.
     #[prost(uint32, tag = "6")]
     pub timeout_ms: u32,
 }
 
-/// Models held by one backend server.
+/// Model on one backend server with its adapters.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HeldModel {
     /// Model.
@@ -62,7 +62,7 @@
     pub adapters: Vec<String>,
 }
 
-/// What one backend server holds, as the holder of the placement lease knows it.
+/// Models on one backend server, as known to the holder of the placement lease.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServerInventory {
     /// Backend server.
@@ -71,50 +71,50 @@
     /// Start of its process, in milliseconds since the epoch.
     #[prost(uint64, tag = "2")]
     pub started_ms: u64,
-    /// Orders that it had accepted.
+    /// Number of orders that it has accepted.
     #[prost(uint64, tag = "3")]
     pub orders: u64,
-    /// Models that it can run.
+    /// Models and adapters that are ready to run.
     #[prost(message, repeated, tag = "4")]
     pub models: Vec<HeldModel>,
-    /// Model that it loads; empty for none.
+    /// Model that it is loading; empty for none.
     #[prost(string, tag = "5")]
     pub loading: String,
-    /// Milliseconds until that load ends.
+    /// Milliseconds until that load is expected to complete.
     #[prost(uint32, tag = "6")]
     pub remaining_ms: u32,
 }
 
-/// What the holder of the placement lease tells of servers.
+/// Server inventories, broadcast by the holder of the placement lease.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct InventoryUpdate {
-    /// Fence under which it orders them.
+    /// Fencing token of the placement lease.
     #[prost(uint64, tag = "1")]
     pub fence: u64,
-    /// Whether the receiver is to pass it on to the other instances of its zone.
+    /// Whether the receiver must forward it to the other instances of its zone.
     #[prost(bool, tag = "2")]
     pub relay: bool,
-    /// What servers hold.
+    /// Inventories.
     #[prost(message, repeated, tag = "3")]
     pub servers: Vec<ServerInventory>,
 }
 
-/// What an instance tells the others.
+/// Periodic report of an instance to all other instances.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
     /// Instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Start number of its process.
+    /// Incarnation number of its process.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
     /// Number of the heartbeat within the incarnation.
     #[prost(uint64, tag = "3")]
     pub number: u64,
-    /// Address for callers.
+    /// Address for clients.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Whether callers should be sent there.
+    /// Whether clients should be directed to it.
     #[prost(bool, tag = "5")]
     pub ready: bool,
     /// Requests in flight.
@@ -126,7 +126,7 @@
     /// Demand for models.
     #[prost(message, repeated, tag = "8")]
     pub models: Vec<ModelUse>,
-    /// Fence of the placement lease, 0 unless the sender holds it.
+    /// Fencing token of the placement lease; 0 unless the sender holds the lease.
     #[prost(uint64, tag = "9")]
     pub fence: u64,
     /// Zone.
@@ -134,21 +134,21 @@
     pub zone: String,
 }
 
-/// What one organisation spent in the last window, over the whole fleet.
+/// Tokens that one organisation spent at all instances in the last window.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OrganisationSpending {
     /// Organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
-    /// Tokens by span of the window, the newest last.
+    /// Tokens per bucket of the sliding window, the newest last.
     #[prost(double, repeated, tag = "2")]
     pub buckets: Vec<f64>,
 }
 
-/// What the fleet spent in the last window, kept in the store for instances that start.
+/// Tokens spent at all instances in the last window, saved in the store for instances that start.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FleetSpending {
-    /// Organisations that spent anything.
+    /// Organisations that spent tokens.
     #[prost(message, repeated, tag = "1")]
     pub organisations: Vec<OrganisationSpending>,
 }
--- a/crates/apricotwell_messages/src/lib.rs
+++ b/crates/apricotwell_messages/src/lib.rs
@@ -1,6 +1,6 @@
 //! Messages between entry instances.
 //!
-//! Every message carries its sender's membership news and its view of the log, so that probes and
+//! Every message carries membership updates and the sender's view of the log, so probes and
 //! requests alike keep both current.
 //!
 //! # Examples
@@ -33,7 +33,7 @@
 pub use member_update::MemberUpdate;
 pub use tokens::{BucketState, GrantBalance, TokenGrant, TokenRequest};
 
-/// What nearly every user of the crate needs.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{Envelope, MemberUpdate, Message, Ping};
 }
--- a/crates/apricotwell_messages/src/member_update.rs
+++ b/crates/apricotwell_messages/src/member_update.rs
@@ -1,4 +1,4 @@
-//! Membership news on the wire.
+//! Wire format of membership updates.
 
 use apricotwell_membership::{Contact, MemberState, Update};
 
@@ -14,31 +14,31 @@
     /// Availability zone.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Start number of its process.
+    /// Incarnation number of its process.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// How often it has refuted a suspicion.
+    /// Number of suspicions that it has refuted.
     #[prost(uint32, tag = "5")]
-    pub round: u32,
+    pub revision: u32,
     /// State: 0 alive, 1 suspect, 2 leaving, 3 dead.
     #[prost(uint32, tag = "6")]
     pub state: u32,
 }
 
 impl MemberUpdate {
-    /// Converts from the core's news.
+    /// Converts from an [`Update`].
     pub fn from_update(update: &Update) -> Self {
         Self {
             id: update.contact.id.to_string(),
             address: update.contact.address.clone(),
             zone: update.contact.zone.to_string(),
             incarnation: update.incarnation,
-            round: update.revision,
+            revision: update.revision,
             state: update.state as u32,
         }
     }
 
-    /// Converts into the core's news; `None` for an unknown state.
+    /// Converts into an [`Update`]; `None` if the state is unknown.
     pub fn to_update(&self) -> Option<Update> {
         let state = match self.state {
             0 => MemberState::Alive,
@@ -54,7 +54,7 @@
                 zone: self.zone.as_str().into(),
             },
             incarnation: self.incarnation,
-            revision: self.round,
+            revision: self.revision,
             state,
         })
     }
--- a/crates/apricotwell_messages/src/tokens.rs
+++ b/crates/apricotwell_messages/src/tokens.rs
@@ -1,49 +1,49 @@
-//! Messages on token rates.
+//! Messages about token rate limits.
 
 use apricotwell_limits::EscrowReport;
 
-/// Asks an organisation's holder for tokens and reports what happened to earlier ones.
+/// Requests tokens from an organisation's lease holder and reports the use of earlier grants.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TokenRequest {
     /// Organisation.
     #[prost(string, tag = "1")]
     pub org: String,
-    /// Number that the answer repeats.
+    /// Number that the reply repeats.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Tokens wanted; 0 for a mere report.
+    /// Tokens requested; 0 if the message only carries a report.
     #[prost(uint64, tag = "3")]
     pub requested: u64,
-    /// Fence of the holder's lease; the report speaks of grants under it.
+    /// Fencing token of the holder's lease; the report covers the grants made under it.
     #[prost(uint64, tag = "4")]
     pub session: u64,
-    /// Tokens left in each grant.
+    /// Tokens remaining in each grant.
     #[prost(message, repeated, tag = "5")]
     pub remaining: Vec<GrantBalance>,
-    /// Grants given back.
+    /// Grants whose remaining tokens are returned.
     #[prost(uint64, repeated, tag = "6")]
     pub returned: Vec<u64>,
-    /// Tokens reserved by all finished requests of the session.
+    /// Tokens reserved by all requests of the session that have finished.
     #[prost(uint64, tag = "7")]
     pub settled: u64,
-    /// Of these, tokens that were not used.
+    /// Those of the `settled` tokens that were not used.
     #[prost(uint64, tag = "8")]
     pub refunded: u64,
 }
 
-/// Tokens left in a grant.
+/// Tokens remaining in a grant.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct GrantBalance {
     /// Grant.
     #[prost(uint64, tag = "1")]
     pub grant: u64,
-    /// Tokens.
+    /// Remaining tokens.
     #[prost(uint64, tag = "2")]
     pub remaining: u64,
 }
 
 impl TokenRequest {
-    /// Returns an ask with a report.
+    /// Returns a request with a report.
     pub fn new(org: &str, number: u64, requested: u64, report: EscrowReport) -> Self {
         let remaining = report.remaining.into_iter();
         Self {
@@ -76,42 +76,42 @@
     }
 }
 
-/// Lends tokens.
+/// Grants tokens, in reply to a [`TokenRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TokenGrant {
     /// Organisation.
     #[prost(string, tag = "1")]
     pub org: String,
-    /// Number of the ask.
+    /// Number of the request.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Fence of the holder's lease.
+    /// Fencing token of the holder's lease.
     #[prost(uint64, tag = "3")]
     pub session: u64,
     /// Grant.
     #[prost(uint64, tag = "4")]
     pub grant: u64,
-    /// Tokens lent; 0 when there are none.
+    /// Tokens granted; 0 if none are available.
     #[prost(uint64, tag = "5")]
     pub amount: u64,
     /// Term of the grant in milliseconds.
     #[prost(uint64, tag = "6")]
     pub term_ms: u64,
-    /// Milliseconds until the rest can be lent.
+    /// Milliseconds until the rest can be granted.
     #[prost(uint64, tag = "7")]
     pub wait_ms: u64,
 }
 
-/// Hands over a bucket.
+/// Transfers a token bucket to the next lease holder.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct BucketState {
     /// Organisation.
     #[prost(string, tag = "1")]
     pub org: String,
-    /// Fence of the lease that the sender gives up.
+    /// Fencing token of the lease that the sender releases.
     #[prost(uint64, tag = "2")]
     pub fence: u64,
-    /// Tokens that can be granted.
+    /// Tokens available for new grants.
     #[prost(uint64, tag = "3")]
     pub level: u64,
     /// Tokens in grants that may still be spent.
--- a/crates/apricotwell_peers/src/lib.rs
+++ b/crates/apricotwell_peers/src/lib.rs
@@ -1,10 +1,10 @@
 //! Authenticated links between entry instances.
 //!
-//! A link carries length-delimited frames in one direction over TCP. Both ends prove that they
-//! know the fleet's secret before the first frame, and every frame carries a MAC over its content
-//! and number. The receiving end sends a pulse back at short intervals, so a link that has gone
-//! silent is replaced while new connections still work. Messages may be lost and come in order
-//! within one link.
+//! A link carries length-delimited frames in one direction over TCP. Before the first frame both
+//! ends prove that they know the fleet's secret, and every frame has a MAC over its number and
+//! payload. The receiving end sends keepalive bytes back at short intervals. A link without
+//! keepalives is replaced, because a new connection may still work. Messages may be lost, but within
+//! one link they arrive in order.
 //!
 //! # Examples
 //!
@@ -23,7 +23,7 @@
 pub use link::{PeerLinks, listen};
 pub use secret::{LinkSecret, SecretError};
 
-/// What nearly every user of the crate needs.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{LinkSecret, PeerLinks, listen};
 }
--- a/crates/apricotwell_peers/src/link.rs
+++ b/crates/apricotwell_peers/src/link.rs
@@ -1,4 +1,4 @@
-//! Links as tasks.
+//! Tasks that run the outgoing and incoming links.
 
 use std::io;
 use std::time::Duration;
@@ -19,29 +19,29 @@
 use crate::handshake;
 use crate::secret::{LinkSecret, MAC_BYTES, SessionKey};
 
-/// Largest frame.
-const MAX_FRAME: usize = 4 << 20;
-/// Messages that wait for one link; further ones are lost.
-const MAX_WAITING: usize = 1024;
-/// Time between two pulses.
-const PULSE: Duration = Duration::from_millis(500);
-/// Time without a pulse after which a link is replaced.
-const SILENCE: Duration = Duration::from_secs(2);
-/// Time in which a link must come about.
+/// Maximum length of a frame.
+const MAX_FRAME_BYTES: usize = 4 << 20;
+/// Messages queued for one link; further ones are dropped.
+const MAX_QUEUED: usize = 1024;
+/// Time between two keepalive bytes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time without a keepalive byte, or spent in one write, after which a link is closed.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of the connection and the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a failed connection.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
-/// Time without a message after which a link is closed.
-const IDLE: Duration = Duration::from_secs(30);
+/// Delay before the next attempt after a failed connection or accept.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Time without a message after which the sender closes a link.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Outgoing links, one for each address, opened when they are first used.
+/// Outgoing links, one per address, opened on first use.
 pub struct PeerLinks {
     secret: LinkSecret,
     links: Map<String, mpsc::Sender<Envelope>>,
 }
 
 impl PeerLinks {
-    /// Returns no links yet.
+    /// Returns an empty set of links.
     pub fn new(secret: LinkSecret) -> Self {
         Self {
             secret,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sends a message to the peer at `address`; it is lost when the link can't keep up.
+    /// Sends a message to the peer at `address`, or drops it if the link's queue is full.
     pub fn send(&mut self, address: &str, envelope: Envelope) {
         let known = self.links.get(address).filter(|link| !link.is_closed());
         let link = match known {
@@ -57,31 +57,32 @@
             None => self.open(address),
         };
         if link.try_send(envelope).is_err() {
-            debug!("message to {address} lost: its link is full");
+            debug!("message to {address} dropped: the queue of its link is full");
         }
     }
 
     fn open(&mut self, address: &str) -> mpsc::Sender<Envelope> {
-        let (sender, receiver) = mpsc::channel(MAX_WAITING);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED);
         self.links.insert(address.to_owned(), sender.clone());
         tokio::task::spawn_local(run_link(address.to_owned(), self.secret.clone(), receiver));
         sender
     }
 }
 
-async fn run_link(address: String, secret: LinkSecret, mut waiting: mpsc::Receiver<Envelope>) {
+async fn run_link(address: String, secret: LinkSecret, mut queue: mpsc::Receiver<Envelope>) {
     loop {
         match connect(&address, &secret).await {
-            Ok((stream, key)) => match feed(stream, key, &mut waiting).await {
+            Ok((stream, key)) => match send_messages(stream, key, &mut queue).await {
                 Ok(()) => return,
-                Err(error) => debug!("link to {address} broke: {error}"),
+                Err(error) => debug!("link to {address} failed: {error}"),
             },
-            Err(error) => debug!("no link to {address}: {error}"),
+            Err(error) => debug!("can't open a link to {address}: {error}"),
         }
-        sleep(RECONNECT_PAUSE).await;
-        // What waited while the peer was away is stale: probes and asks are sent anew.
-        while waiting.try_recv().is_ok() {}
-        if waiting.is_closed() {
+        sleep(RECONNECT_DELAY).await;
+        // Messages queued while the peer was unreachable are stale: probes and requests are sent
+        // again.
+        while queue.try_recv().is_ok() {}
+        if queue.is_closed() {
             return;
         }
     }
@@ -100,38 +101,38 @@
     }
 }
 
-// Returns `Ok` when the link has been idle and is closed on purpose.
-async fn feed(
+// Sends queued messages. Returns `Ok` when the link is closed because it was idle.
+async fn send_messages(
     stream: TcpStream,
     mut key: SessionKey,
-    waiting: &mut mpsc::Receiver<Envelope>,
+    queue: &mut mpsc::Receiver<Envelope>,
 ) -> io::Result<()> {
-    let (mut pulses, writer) = stream.into_split();
+    let (mut keepalives, writer) = stream.into_split();
     let mut frames = FramedWrite::new(writer, codec());
-    let mut check = interval(PULSE);
-    let mut last_pulse = Instant::now();
+    let mut check = interval(KEEPALIVE_INTERVAL);
+    let mut last_keepalive = Instant::now();
     let mut last_message = Instant::now();
     let mut buffer = [0; 64];
     loop {
         tokio::select! {
-            message = waiting.recv() => {
+            message = queue.recv() => {
                 let Some(envelope) = message else { return Ok(()) };
                 last_message = Instant::now();
-                let frame = seal(&mut key, &envelope);
-                timeout(SILENCE, frames.send(frame)).await??;
+                let frame = encode_frame(&mut key, &envelope);
+                timeout(KEEPALIVE_TIMEOUT, frames.send(frame)).await??;
             }
-            read = pulses.read(&mut buffer) => {
+            read = keepalives.read(&mut buffer) => {
                 if read? == 0 {
                     return Err(io::ErrorKind::ConnectionReset.into());
                 }
-                last_pulse = Instant::now();
+                last_keepalive = Instant::now();
             }
             _ = check.tick() => {
-                if last_pulse.elapsed() > SILENCE {
+                if last_keepalive.elapsed() > KEEPALIVE_TIMEOUT {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
-                if last_message.elapsed() > IDLE {
-                    waiting.close();
+                if last_message.elapsed() > IDLE_TIMEOUT {
+                    queue.close();
                     return Ok(());
                 }
             }
@@ -139,7 +140,7 @@
     }
 }
 
-/// Accepts links and passes each message that comes on them to `deliver`.
+/// Accepts links and passes each received message to `deliver`.
 pub async fn listen<F>(listener: TcpListener, secret: LinkSecret, deliver: F)
 where
     F: Fn(Envelope) + Clone + 'static,
@@ -151,13 +152,15 @@
                 let deliver = deliver.clone();
                 tokio::task::spawn_local(async move {
                     if let Err(error) = serve(stream, &secret, deliver).await {
-                        debug!("link from {address} ended: {error}");
+                        debug!("link from {address} closed: {error}");
                     }
                 });
             }
             Err(error) => {
-                warn!("no link accepted: {error}; raise the limit of open files if it persists");
-                sleep(RECONNECT_PAUSE).await;
+                warn!(
+                    "can't accept a link: {error}; raise the limit of open files if this persists"
+                );
+                sleep(RECONNECT_DELAY).await;
             }
         }
     }
@@ -168,19 +171,19 @@
     F: Fn(Envelope),
 {
     stream.set_nodelay(true)?;
-    let shaken = timeout(CONNECT_TIMEOUT, handshake::accept(&mut stream, secret)).await;
-    let mut key = shaken.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    let (reader, mut pulses) = stream.into_split();
+    let handshake_result = timeout(CONNECT_TIMEOUT, handshake::accept(&mut stream, secret)).await;
+    let mut key = handshake_result.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
+    let (reader, mut keepalives) = stream.into_split();
     let mut frames = FramedRead::new(reader, codec());
-    let mut pulse = interval(PULSE);
+    let mut keepalive = interval(KEEPALIVE_INTERVAL);
     loop {
         tokio::select! {
             frame = frames.next() => {
                 let Some(frame) = frame else { return Ok(()) };
-                deliver(unseal(&mut key, frame?)?);
+                deliver(decode_frame(&mut key, frame?)?);
             }
-            _ = pulse.tick() => {
-                timeout(SILENCE, pulses.write_all(&[1])).await??;
+            _ = keepalive.tick() => {
+                timeout(KEEPALIVE_TIMEOUT, keepalives.write_all(&[1])).await??;
             }
         }
     }
@@ -188,11 +191,11 @@
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_FRAME)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
-fn seal(key: &mut SessionKey, envelope: &Envelope) -> Bytes {
+fn encode_frame(key: &mut SessionKey, envelope: &Envelope) -> Bytes {
     let payload = envelope.to_bytes();
     let mut frame = BytesMut::with_capacity(MAC_BYTES + payload.len());
     frame.put_slice(&key.next_mac(&payload));
@@ -200,14 +203,14 @@
     frame.freeze()
 }
 
-fn unseal(key: &mut SessionKey, frame: BytesMut) -> io::Result<Envelope> {
-    let bad = |reason: &str| io::Error::new(io::ErrorKind::InvalidData, reason.to_owned());
+fn decode_frame(key: &mut SessionKey, frame: BytesMut) -> io::Result<Envelope> {
+    let invalid = |reason: &str| io::Error::new(io::ErrorKind::InvalidData, reason.to_owned());
     if frame.len() < MAC_BYTES {
-        return Err(bad("a frame is too short"));
+        return Err(invalid("the frame is too short"));
     }
     let (mac, payload) = frame.split_at(MAC_BYTES);
     if !bool::from(key.next_mac(payload).ct_eq(mac)) {
-        return Err(bad("a frame has a wrong MAC"));
+        return Err(invalid("the MAC of the frame is wrong"));
     }
-    Envelope::from_bytes(payload).ok_or_else(|| bad("a frame is no message"))
+    Envelope::from_bytes(payload).ok_or_else(|| invalid("the frame is not a message"))
 }
--- a/crates/apricotwell_peers/src/secret.rs
+++ b/crates/apricotwell_peers/src/secret.rs
@@ -1,20 +1,20 @@
-//! The fleet's secret and what is derived from it.
+//! The fleet's shared secret and the session keys derived from it.
 
 use std::fmt;
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// Bytes of a MAC on each frame.
+/// Length of the truncated MAC of each frame.
 pub(crate) const MAC_BYTES: usize = 16;
-/// Least bytes of a secret.
-const MIN_SECRET: usize = 16;
+/// Minimum length of a secret.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Secret that all entry instances of a fleet share.
+/// Secret shared by all entry instances of a fleet.
 #[derive(Clone)]
 pub struct LinkSecret(Vec<u8>);
 
-/// The secret is too short.
+/// Error for a secret that is too short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SecretError;
 
@@ -22,7 +22,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "the link secret needs at least {MIN_SECRET} bytes; use a random one"
+            "the link secret needs at least {MIN_SECRET_BYTES} bytes; use a random one"
         )
     }
 }
@@ -30,13 +30,13 @@
 impl std::error::Error for SecretError {}
 
 impl LinkSecret {
-    /// Returns the secret.
+    /// Creates the secret from its text.
     ///
     /// # Errors
     ///
-    /// Fails when it has fewer than 16 bytes.
+    /// Fails when the text has fewer than 16 bytes.
     pub fn new(text: &str) -> Result<Self, SecretError> {
-        if text.len() < MIN_SECRET {
+        if text.len() < MIN_SECRET_BYTES {
             return Err(SecretError);
         }
         Ok(Self(text.as_bytes().to_vec()))
@@ -53,7 +53,7 @@
     }
 }
 
-/// Key of one link and the number of its next frame.
+/// Session key of one link and the number of its next frame.
 pub(crate) struct SessionKey {
     key: [u8; 32],
     number: u64,
@@ -64,7 +64,7 @@
         Self { key, number: 0 }
     }
 
-    /// Returns the MAC of the next frame.
+    /// Returns the MAC of the next frame and advances the frame number.
     pub(crate) fn next_mac(&mut self, payload: &[u8]) -> [u8; MAC_BYTES] {
         let full = mac(&self.key, &[&self.number.to_le_bytes(), payload]);
         self.number += 1;
--- a/crates/apricotwell_records/src/claim.rs
+++ b/crates/apricotwell_records/src/claim.rs
@@ -5,13 +5,13 @@
 /// Envelope of each record on a claim stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimRecord {
-    /// Fence of the shard's lease; a lower one than the latest opened is void.
+    /// Fencing token of the shard's lease; the record is void if a higher token opened the stream.
     #[prost(uint64, tag = "1")]
     pub fence: u64,
-    /// Milliseconds since the Unix epoch by the writer's clock; only ages old claims out.
+    /// Milliseconds since the Unix epoch by the writer's clock; used only to expire old claims.
     #[prost(uint64, tag = "2")]
     pub written_ms: u64,
-    /// What is recorded; `None` for a kind that this version does not know.
+    /// Content; `None` for a kind that this version does not know.
     #[prost(oneof = "ClaimBody", tags = "10, 11, 12")]
     pub body: Option<ClaimBody>,
 }
@@ -28,21 +28,21 @@
     }
 }
 
-/// Kinds of claim records.
+/// Content of a claim record.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum ClaimBody {
-    /// Begins a holder's term; voids later records of lower fences.
+    /// Starts a holder's lease; voids later records with lower fencing tokens.
     #[prost(message, tag = "10")]
     Opened(Opened),
     /// Reserves an idempotency key for one attempt.
     #[prost(message, tag = "11")]
     Claimed(Claimed),
-    /// Tells how the attempt ended.
+    /// Records the outcome of an attempt.
     #[prost(message, tag = "12")]
     Finished(Finished),
 }
 
-/// Begins a holder's term on a claim stream.
+/// Starts a holder's lease on a claim stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct Opened {}
 
@@ -60,25 +60,25 @@
     pub attempt: String,
 }
 
-/// Tells how a claimed attempt ended.
+/// Records the outcome of a claimed attempt.
 #[derive(Clone, PartialEq, Message)]
 pub struct Finished {
     /// Digest of the organisation and the idempotency key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// Attempt that ended.
+    /// Attempt that finished.
     #[prost(string, tag = "2")]
     pub attempt: String,
     /// `answered`, `not_run`, `failed_after_it_ran` or `outcome_unknown`.
     #[prost(string, tag = "3")]
     pub outcome: String,
-    /// HTTP status of the answer; 0 without one.
+    /// HTTP status of the answer; 0 if there is none.
     #[prost(uint32, tag = "4")]
     pub status: u32,
     /// Content type of the answer.
     #[prost(string, tag = "5")]
     pub content_type: String,
-    /// Body of the answer, when it is small enough to keep.
+    /// Body of the answer, if it is small enough to store.
     #[prost(bytes = "vec", tag = "6")]
     pub answer: Vec<u8>,
 }
--- a/crates/apricotwell_records/src/control.rs
+++ b/crates/apricotwell_records/src/control.rs
@@ -6,20 +6,20 @@
 ///
 /// # Invariants
 ///
-/// A writer numbers its records from 1 without gaps and appends them in order, so a reader drops a
-/// record whose number it has seen from the same incarnation.
+/// A writer numbers the records of each incarnation from 1 without gaps and appends them in order.
+/// Readers drop a record whose number they have already seen from the same incarnation.
 #[derive(Clone, PartialEq, Message)]
 pub struct Record {
     /// Instance or operator that wrote the record.
     #[prost(string, tag = "1")]
     pub writer: String,
-    /// Start number of the writer.
+    /// Incarnation number of the writer.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Number of the record within the incarnation; 0 for operators.
+    /// Sequence number of the record within the incarnation; 0 for operators.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// What is recorded; `None` for a kind that this version does not know.
+    /// Content; `None` for a kind that this version does not know.
     #[prost(oneof = "Body", tags = "10, 11, 12, 13, 14, 15, 16, 17")]
     pub body: Option<Body>,
 }
@@ -46,13 +46,13 @@
     }
 }
 
-/// Kinds of records.
+/// Content of a record.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// Change of configuration by an operator.
+    /// Configuration change by an operator.
     #[prost(message, tag = "10")]
     PutConfig(PutConfig),
-    /// Lease on duty shards.
+    /// Acquisition of leases on shards.
     #[prost(message, tag = "11")]
     AcquireLeases(AcquireLeases),
     /// Decision to load a replica.
@@ -61,21 +61,21 @@
     /// Decision to unload a replica.
     #[prost(message, tag = "13")]
     RetireReplica(RetireReplica),
-    /// Known outcome of a load or an unload.
+    /// Confirmed outcome of a load or an unload.
     #[prost(message, tag = "14")]
     SettleReplica(SettleReplica),
-    /// Start of a backend server.
+    /// Start of a backend server, or a change of its data.
     #[prost(message, tag = "15")]
     ServerUp(ServerUp),
     /// End of a backend server.
     #[prost(message, tag = "16")]
     ServerGone(ServerGone),
-    /// Crash of a backend server that ran a request.
+    /// Crash of a backend server while it ran a request.
     #[prost(message, tag = "17")]
     CrashSuspect(CrashSuspect),
 }
 
-/// Change of one configuration value, decided at a version.
+/// Change of one configuration value, conditional on its current version.
 #[derive(Clone, PartialEq, Message)]
 pub struct PutConfig {
     /// Path, such as `/teams/hadegisbru/keys/kitchen`.
@@ -87,7 +87,7 @@
     /// TOML text of the value; absent to delete it.
     #[prost(string, optional, tag = "3")]
     pub value: Option<String>,
-    /// Random number that names the change.
+    /// Random number that identifies the change.
     #[prost(uint64, tag = "4")]
     pub change: u64,
     /// Ed25519 signature by the operator named as the record's writer.
@@ -95,19 +95,19 @@
     pub signature: Vec<u8>,
 }
 
-/// Lease on duty shards, decided at their present fences.
+/// Acquisition of leases on shards, conditional on their current fencing tokens.
 #[derive(Clone, PartialEq, Message)]
 pub struct AcquireLeases {
-    /// Shards taken.
+    /// Shards to acquire.
     #[prost(uint32, repeated, tag = "1")]
     pub shards: Vec<u32>,
-    /// Present fence of each shard, in the same order; 0 for a shard never held.
+    /// Current fencing token of each shard, in the same order; 0 if the shard was never leased.
     #[prost(uint64, repeated, tag = "2")]
     pub fences: Vec<u64>,
     /// New holder.
     #[prost(string, tag = "3")]
     pub holder: String,
-    /// Start number of the new holder.
+    /// Incarnation number of the new holder.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
 }
@@ -121,13 +121,13 @@
     /// Version of the weights.
     #[prost(string, tag = "2")]
     pub version: String,
-    /// Backend server that shall load it.
+    /// Backend server that is to load it.
     #[prost(string, tag = "3")]
     pub server: String,
-    /// Start number of the backend server.
+    /// Incarnation number of the backend server.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Fence of the model's shard.
+    /// Fencing token of the model's shard.
     #[prost(uint64, tag = "5")]
     pub fence: u64,
 }
@@ -138,18 +138,18 @@
     /// Replica.
     #[prost(uint64, tag = "1")]
     pub replica: u64,
-    /// Fence of the model's shard.
+    /// Fencing token of the model's shard.
     #[prost(uint64, tag = "2")]
     pub fence: u64,
 }
 
-/// Known outcome of a load or an unload.
+/// Confirmed outcome of a load or an unload.
 #[derive(Clone, PartialEq, Message)]
 pub struct SettleReplica {
     /// Replica.
     #[prost(uint64, tag = "1")]
     pub replica: u64,
-    /// Fence of the model's shard.
+    /// Fencing token of the model's shard.
     #[prost(uint64, tag = "2")]
     pub fence: u64,
     /// Outcome.
@@ -157,28 +157,28 @@
     pub outcome: i32,
 }
 
-/// Outcome of a load or an unload, as the backend server confirmed it.
+/// Outcome of a load or an unload, as confirmed by the backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum SettleOutcome {
-    /// Not one of the outcomes that this version knows.
+    /// Unset or unknown to this version.
     Unspecified = 0,
     /// The replica is loaded.
     Loaded = 1,
-    /// The replica is not loaded and its load order can no longer take effect.
+    /// The replica is not loaded, and its load order can no longer take effect.
     Absent = 2,
 }
 
-/// Start of a backend server.
+/// Start of a backend server, or a change of its data.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServerUp {
     /// Backend server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Start number; a higher one ends what the lower one had loaded.
+    /// Incarnation number of its process; a higher one discards what the lower one had loaded.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Pool in the configuration that gives its kind, memory and slots.
+    /// Configured pool, which defines its kind, memory and slots.
     #[prost(string, tag = "3")]
     pub pool: String,
     /// Address as `ip:port`.
@@ -187,7 +187,7 @@
     /// Availability zone.
     #[prost(string, tag = "5")]
     pub zone: String,
-    /// Whether it takes no new work.
+    /// Whether it drains and takes no new work.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
 }
@@ -198,12 +198,12 @@
     /// Backend server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Start number that ended.
+    /// Incarnation number of the process that ended.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
 }
 
-/// Crash of a backend server that ran a request.
+/// Crash of a backend server while it ran a request.
 #[derive(Clone, PartialEq, Message)]
 pub struct CrashSuspect {
     /// Digest of the organisation and the body.
@@ -211,19 +211,19 @@
     pub digest: Vec<u8>,
 }
 
-/// Piece of a checkpoint on the checkpoint stream.
+/// Chunk of a checkpoint on the checkpoint stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct CheckpointChunk {
-    /// Control offset up to which the checkpoint holds, exclusive.
+    /// First offset of the control stream that the checkpoint does not include.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
-    /// Writer and start number, so that competing checkpoints do not mix.
+    /// Writer; with its incarnation number it keeps the chunks of concurrent checkpoints apart.
     #[prost(string, tag = "2")]
     pub writer: String,
-    /// Start number of the writer.
+    /// Incarnation number of the writer.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// Index of this chunk.
+    /// Index of this chunk, from 0.
     #[prost(uint32, tag = "4")]
     pub index: u32,
     /// Number of chunks.
--- a/crates/apricotwell_records/src/lib.rs
+++ b/crates/apricotwell_records/src/lib.rs
@@ -1,14 +1,16 @@
 //! Records of the platform log and their signatures.
 //!
-//! Everything that instances agree on is one of these records on the `control` stream, or a claim
-//! on a `claims-N` stream. Messages derive their codec, so the build needs no generator.
+//! Everything that instances agree on is a record on the `control` stream or a claim on a
+//! `claims-N` stream. Records derive their Protocol Buffers codec, so the build runs no code
+//! generator.
 //!
 //! # Examples
 //!
 //! ```
 //! use apricotwell_records::prelude::*;
 //!
-//! let record = Record::new("entry-1", 7, 1, Body::CrashSuspect(CrashSuspect { digest: vec![0; 16] }));
+//! let suspect = CrashSuspect { digest: vec![0; 16] };
+//! let record = Record::new("entry-1", 7, 1, Body::CrashSuspect(suspect));
 //! assert_eq!(Record::from_bytes(&record.to_bytes()).unwrap(), record);
 //! ```
 
@@ -25,7 +27,7 @@
 pub use log::{AppendError, LogBatch, ReadError};
 pub use signature::{OperatorKey, OperatorToken, SignatureError, verify_put};
 
-/// What nearly every user of the crate needs.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{
         AcquireLeases, Body, CheckpointChunk, ClaimBody, ClaimRecord, Claimed, CrashSuspect,
@@ -34,12 +36,12 @@
     };
 }
 
-/// Name of the stream that every instance folds.
+/// Name of the stream from which every instance builds its state.
 pub const CONTROL_STREAM: &str = "control";
-/// Name of the stream that holds checkpoints of the control stream.
+/// Name of the stream with the checkpoints of the control stream.
 pub const CHECKPOINT_STREAM: &str = "checkpoint";
 
-/// Returns the name of the stream with the claims of one shard.
+/// Returns the name of the claim stream of a shard.
 pub fn claim_stream(shard: u32) -> String {
     format!("claims-{shard}")
 }
--- a/crates/apricotwell_records/src/log.rs
+++ b/crates/apricotwell_records/src/log.rs
@@ -1,33 +1,35 @@
-//! What reading and appending on a log stream can come to.
+//! Results and errors of reads and appends on a log stream.
 
 use std::fmt;
 
 use apricotwell_types::Offset;
 
-/// Why an append has no offset.
+/// Why an append returned no offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendError {
-    /// The log took nothing.
+    /// The log appended nothing.
     NotAppended,
-    /// The log may have taken the records, now or later.
+    /// The log may have appended the records or may still do so.
     Unknown,
 }
 
 impl fmt::Display for AppendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            AppendError::NotAppended => "the log took nothing; append again",
-            AppendError::Unknown => "the log may have taken it; append the same records again",
+            AppendError::NotAppended => "the log appended nothing; append again",
+            AppendError::Unknown => {
+                "the log may have appended the records; append the same records again"
+            }
         })
     }
 }
 
 impl std::error::Error for AppendError {}
 
-/// Why a read brought nothing.
+/// Why a read returned no records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// The records were dropped; the first one kept is named.
+    /// The records were dropped; contains the first offset that is still available.
     Expired(Offset),
     /// The log did not answer.
     Unreachable,
@@ -39,10 +41,10 @@
             ReadError::Expired(first) => {
                 write!(
                     f,
-                    "records before {first} are dropped; start from a checkpoint"
+                    "the log dropped the records before offset {first}; start from a checkpoint"
                 )
             }
-            ReadError::Unreachable => f.write_str("the log does not answer; read again"),
+            ReadError::Unreachable => f.write_str("the log did not answer; read again"),
         }
     }
 }
@@ -56,12 +58,12 @@
     pub first: Offset,
     /// Records with consecutive offsets.
     pub records: Vec<Vec<u8>>,
-    /// Offset that the next appended record will have.
+    /// Offset of the next record to be appended.
     pub end: Offset,
 }
 
 impl LogBatch {
-    /// Returns whether nothing stood behind the batch when it was read.
+    /// Returns whether the batch reached the end of the stream when it was read.
     pub fn reaches_end(&self) -> bool {
         self.first + self.records.len() as Offset >= self.end
     }
--- a/crates/apricotwell_records/src/signature.rs
+++ b/crates/apricotwell_records/src/signature.rs
@@ -1,4 +1,4 @@
-//! Signatures of configuration changes.
+//! Signatures of configuration changes and operator tokens.
 
 use std::fmt;
 
@@ -6,11 +6,11 @@
 
 use crate::PutConfig;
 
-/// Secret key with which an operator signs changes.
+/// Secret key with which an operator signs changes and tokens.
 pub struct OperatorKey(SigningKey);
 
 impl OperatorKey {
-    /// Returns the key made of 32 random bytes.
+    /// Returns the key for a seed of 32 random bytes.
     pub fn from_seed(seed: [u8; 32]) -> Self {
         Self(SigningKey::from_bytes(&seed))
     }
@@ -26,12 +26,12 @@
         Ok(Self::from_seed(seed))
     }
 
-    /// Returns the public half as 64 hexadecimal digits.
+    /// Returns the public key as 64 hexadecimal digits.
     pub fn public_hex(&self) -> String {
         hex::encode(self.0.verifying_key().to_bytes())
     }
 
-    /// Signs `put` in the name of `writer`.
+    /// Signs `put` as `writer` and stores the signature in it.
     pub fn sign(&self, writer: &str, put: &mut PutConfig) {
         let text = signed_text(writer, put);
         put.signature = self.0.sign(&text).to_bytes().to_vec();
@@ -44,12 +44,12 @@
     }
 }
 
-/// Why a signature was not accepted.
+/// Why a signature was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignatureError {
-    /// The key is not 64 hexadecimal digits of a valid key.
+    /// The text is not a key of 64 hexadecimal digits.
     MalformedKey,
-    /// The signature was not made by this key over this change.
+    /// The key did not make this signature over this content, or the token has expired.
     WrongSignature,
 }
 
@@ -60,7 +60,7 @@
                 "the key is not 64 hexadecimal digits: make one with `apricotwell-control operator new`"
             }
             SignatureError::WrongSignature => {
-                "the signature does not fit: sign with the key registered for this operator"
+                "the signature does not match: sign with the key registered for this operator"
             }
         })
     }
@@ -68,14 +68,15 @@
 
 impl std::error::Error for SignatureError {}
 
-/// Name and proof of an operator, good until it expires.
+/// Signed token that authenticates an operator until it expires.
 ///
-/// Its text is `NAME.EXPIRY.SIGNATURE`; it proves who asks and grants nothing by itself.
+/// Its text form is `NAME.EXPIRY.SIGNATURE`. It proves the operator's identity and grants no
+/// permissions.
 #[derive(Clone, PartialEq, Eq)]
 pub struct OperatorToken {
-    /// Operator.
+    /// Name of the operator.
     pub name: String,
-    /// Seconds since the Unix epoch.
+    /// Expiry in seconds since the Unix epoch.
     pub expires: u64,
     signature: Vec<u8>,
 }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Returns the token's text.
+    /// Returns the token's text form.
     pub fn to_text(&self) -> String {
         format!(
             "{}.{}.{}",
@@ -109,7 +110,7 @@
         )
     }
 
-    /// Parses [`OperatorToken::to_text`]; `None` when the text is no token.
+    /// Parses [`OperatorToken::to_text`]; `None` when the text is not a token.
     pub fn from_text(text: &str) -> Option<Self> {
         let (rest, signature) = text.rsplit_once('.')?;
         let (name, expires) = rest.rsplit_once('.')?;
@@ -120,11 +121,11 @@
         })
     }
 
-    /// Checks that the holder of `public_hex` signed the token and that it has not expired.
+    /// Verifies that the owner of the key `public_hex` signed the token and that it is not expired.
     ///
     /// # Errors
     ///
-    /// Fails when the key is malformed, the signature does not fit or the token has expired.
+    /// Fails when the key is malformed, the signature does not match or the token has expired.
     pub fn verify(&self, public_hex: &str, now_s: u64) -> Result<(), SignatureError> {
         if now_s >= self.expires {
             return Err(SignatureError::WrongSignature);
@@ -141,11 +142,11 @@
     format!("apricotwell operator 1 {} {name} {expires}", name.len()).into_bytes()
 }
 
-/// Checks that the holder of `public_hex` signed `put` as `writer`.
+/// Verifies that the owner of the key `public_hex` signed `put` as `writer`.
 ///
 /// # Errors
 ///
-/// Fails when the key is malformed or the signature does not fit.
+/// Fails when the key is malformed or the signature does not match.
 pub fn verify_put(public_hex: &str, writer: &str, put: &PutConfig) -> Result<(), SignatureError> {
     verify_text(public_hex, &signed_text(writer, put), &put.signature)
 }
@@ -159,7 +160,7 @@
         .map_err(|_| SignatureError::WrongSignature)
 }
 
-// Lengths come before each variable part, so that no two changes share a text.
+// A length precedes each variable part, so that different changes never yield the same text.
 fn signed_text(writer: &str, put: &PutConfig) -> Vec<u8> {
     let mut text = b"apricotwell put 1".to_vec();
     for part in [writer, &put.path, put.value.as_deref().unwrap_or("")] {
--- a/crates/apricotwell_timeline/src/bin/apricotwell-timeline.rs
+++ b/crates/apricotwell_timeline/src/bin/apricotwell-timeline.rs
@@ -7,7 +7,7 @@
 
 /// Merge event files of all processes into one timeline and print it.
 ///
-/// Exit codes: 0 printed, 1 a file could not be read or holds a bad line, 2 wrong arguments.
+/// Exit codes: 0 printed, 1 a file could not be read or contains a bad line, 2 wrong arguments.
 #[derive(argh::FromArgs)]
 struct Args {
     /// keep only this request, as `instance/incarnation/number`
@@ -43,7 +43,7 @@
 
 fn run(args: Args) -> Result<String, String> {
     if args.files.is_empty() {
-        return Err("no event files: name at least one".to_owned());
+        return Err("no event files: pass at least one".to_owned());
     }
     let mut inputs = Vec::new();
     for file in &args.files {
--- a/crates/apricotwell_timeline/src/event.rs
+++ b/crates/apricotwell_timeline/src/event.rs
@@ -1,4 +1,4 @@
-//! Events.
+//! Events and their JSON form.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,57 +6,57 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
-    /// The process began.
+    /// The process started.
     ProcessStarted,
-    /// The process ends.
+    /// The process stops.
     ProcessStopped,
-    /// An instance is ready for callers.
+    /// An instance is ready to serve clients.
     InstanceReady,
-    /// An instance drains.
+    /// An instance started to drain.
     InstanceLeaving,
     /// The instance's view of the log changed.
     ViewChanged,
-    /// A member's state changed.
+    /// The membership state of an instance changed.
     MemberChanged,
     /// A request was accepted.
     RequestAccepted,
-    /// A request was given to a backend server.
+    /// A request was dispatched to a backend server.
     RequestDispatched,
-    /// An attempt ended.
+    /// An attempt finished.
     AttemptEnded,
-    /// A request is tried again.
+    /// A request is retried.
     RequestRetried,
-    /// A request got its whole answer.
+    /// A request got its complete answer.
     RequestAnswered,
     /// A request was refused.
     RequestRefused,
-    /// A recorded answer was given again.
+    /// A recorded answer was returned again.
     AnswerReplayed,
     /// An idempotency key was granted to an attempt.
     ClaimGranted,
-    /// A configuration change is in force here.
+    /// A configuration change was applied at this instance.
     ConfigApplied,
-    /// A record had no effect.
+    /// A record was rejected and had no effect.
     RecordRejected,
-    /// A lease was recorded.
+    /// The acquisition of leases was recorded.
     LeaseTaken,
-    /// A load was decided.
+    /// The decision to load a replica was recorded.
     ReplicaDecided,
     /// An order was sent to a backend server.
     OrderSent,
-    /// An order's outcome came back.
+    /// The outcome of an order was received.
     OrderEnded,
-    /// A replica is recorded as loaded.
+    /// A replica was recorded as loaded.
     ReplicaLoaded,
-    /// A replica is recorded as retired.
+    /// The decision to unload a replica was recorded.
     ReplicaRetired,
-    /// A replica is recorded as gone.
+    /// A replica was recorded as not loaded.
     ReplicaGone,
     /// A backend server started.
     ServerStarted,
     /// A backend server ended.
     ServerEnded,
-    /// A backend server crashed on a request.
+    /// A backend server crashed while it ran a request.
     ServerCrashed,
     /// A backend server ran a request.
     ServerRan,
@@ -67,7 +67,7 @@
 }
 
 impl EventKind {
-    /// Returns the name that stands in a line.
+    /// Returns the kind's name in JSON.
     pub fn name(self) -> String {
         let text = serde_json::to_string(&self).unwrap_or_default();
         text.trim_matches('"').to_owned()
@@ -78,16 +78,16 @@
 ///
 /// # Invariants
 ///
-/// Holds names and digests, never a key or a body.
+/// Contains names and digests, never a key or a body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// Microseconds since the Unix epoch by the process's clock.
     pub at_us: u64,
-    /// Process.
+    /// Instance or other process.
     pub instance: String,
     /// Kind.
     pub kind: EventKind,
-    /// Request, as `instance/incarnation/number`.
+    /// Request id, as `instance/incarnation/number`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
     /// Organisation.
@@ -108,13 +108,13 @@
     /// Offset on the control stream.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub offset: Option<u64>,
-    /// Anything else, in words.
+    /// Further details as text.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
 
 impl Event {
-    /// Returns an event without time and process.
+    /// Returns an event without a time and a process.
     pub fn new(kind: EventKind) -> Self {
         Self {
             at_us: 0,
@@ -131,62 +131,62 @@
         }
     }
 
-    /// Names the request.
+    /// Sets the request.
     pub fn with_request(mut self, request: impl Into<String>) -> Self {
         self.request = Some(request.into());
         self
     }
 
-    /// Names the organisation.
+    /// Sets the organisation.
     pub fn with_org(mut self, org: impl Into<String>) -> Self {
         self.org = Some(org.into());
         self
     }
 
-    /// Names the key.
+    /// Sets the name of the key.
     pub fn with_key(mut self, key: impl Into<String>) -> Self {
         self.key = Some(key.into());
         self
     }
 
-    /// Names the model or route.
+    /// Sets the model or route.
     pub fn with_model(mut self, model: impl Into<String>) -> Self {
         self.model = Some(model.into());
         self
     }
 
-    /// Names the backend server.
+    /// Sets the backend server.
     pub fn with_server(mut self, server: impl Into<String>) -> Self {
         self.server = Some(server.into());
         self
     }
 
-    /// Names the replica.
+    /// Sets the replica.
     pub fn with_replica(mut self, replica: u64) -> Self {
         self.replica = Some(replica);
         self
     }
 
-    /// Names the offset.
+    /// Sets the offset on the control stream.
     pub fn with_offset(mut self, offset: u64) -> Self {
         self.offset = Some(offset);
         self
     }
 
-    /// Adds words.
+    /// Sets the detail text.
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
     }
 
-    /// Adds process and time.
+    /// Sets the process and the time.
     pub fn stamped(mut self, instance: &str, at_us: u64) -> Self {
         self.instance = instance.to_owned();
         self.at_us = at_us;
         self
     }
 
-    /// Returns the event as one JSON line without its end.
+    /// Returns the event as a JSON line without a line end.
     pub fn to_line(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
--- a/crates/apricotwell_timeline/src/lib.rs
+++ b/crates/apricotwell_timeline/src/lib.rs
@@ -1,7 +1,7 @@
-//! Timeline of events over all processes.
+//! Timeline of the events of all processes.
 //!
-//! Every process writes one JSON line per event; [`merge`] orders the lines of many processes, and
-//! the `apricotwell-timeline` command prints those that concern one request, model or key.
+//! Every process writes one JSON line per event. [`merge`] orders the lines of many processes by
+//! time, and the `apricotwell-timeline` command prints those of one request, model or key.
 //!
 //! # Examples
 //!
@@ -22,7 +22,7 @@
 pub use merge::{Filter, MergeError, merge, render};
 pub use page::render_svg;
 
-/// What nearly every user of the crate needs.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{Event, EventKind, Filter, merge, render};
 }
--- a/crates/apricotwell_timeline/src/merge.rs
+++ b/crates/apricotwell_timeline/src/merge.rs
@@ -1,17 +1,17 @@
-//! Merging the lines of many processes.
+//! Merging, filtering and rendering of the events of many processes.
 
 use std::fmt;
 
 use crate::{Event, EventKind};
 
-/// Line that is no event.
+/// Error for a line that is not an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MergeError {
-    /// Which input, from 0.
+    /// Index of the input, from 0.
     pub input: usize,
-    /// Which line of it, from 1.
+    /// Line number in the input, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
@@ -24,31 +24,32 @@
         } = self;
         write!(
             f,
-            "input {input}, line {line}: {reason}; pass only event files, or cut the torn line"
+            "input {input}, line {line}: {reason}; pass only event files, or remove the broken line"
         )
     }
 }
 
 impl std::error::Error for MergeError {}
 
-/// Which events to keep; an empty filter keeps all.
+/// Selects events; an empty filter matches all.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
-    /// Request.
+    /// Id of the request.
     pub request: Option<String>,
-    /// Model.
+    /// Model or route.
     pub model: Option<String>,
-    /// Key.
+    /// Name of the key.
     pub key: Option<String>,
-    /// Kind.
+    /// Kind of the event.
     pub kind: Option<EventKind>,
 }
 
 impl Filter {
-    /// Returns whether an event is to be kept.
+    /// Returns whether an event matches all set fields.
     pub fn matches(&self, event: &Event) -> bool {
-        let fits =
-            |wanted: &Option<String>, found: &Option<String>| wanted.is_none() || wanted == found;
+        let fits = |expected: &Option<String>, found: &Option<String>| {
+            expected.is_none() || expected == found
+        };
         fits(&self.request, &event.request)
             && fits(&self.model, &event.model)
             && fits(&self.key, &event.key)
@@ -56,13 +57,13 @@
     }
 }
 
-/// Merges inputs of JSON lines into one order of time.
+/// Merges inputs of JSON lines into one sequence, ordered by time.
 ///
-/// Events of one process keep their order when its clock steps back.
+/// Events of one input keep their order even if the clock of its process steps back.
 ///
 /// # Errors
 ///
-/// Fails on a line that is no event; a torn last line without an end is skipped.
+/// Fails on a line that is not an event. A last line that is incomplete is skipped.
 pub fn merge<T>(inputs: &[T]) -> Result<Vec<Event>, MergeError>
 where
     T: AsRef<str>,
@@ -96,7 +97,7 @@
     Ok(events)
 }
 
-/// Renders events as text, one a line, with milliseconds since the first one.
+/// Renders events as text, one per line, with milliseconds since the first event.
 pub fn render(events: &[Event]) -> String {
     let start = events.first().map_or(0, |event| event.at_us);
     let mut text = String::new();
--- a/crates/apricotwell_types/src/digest.rs
+++ b/crates/apricotwell_types/src/digest.rs
@@ -1,20 +1,20 @@
-//! Digests that stand for secrets and request bodies.
+//! Digests of secrets and request bodies.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// SHA-256 digest of a caller's key.
+/// SHA-256 digest of a client's API key.
 ///
 /// # Invariants
 ///
-/// Holds no key material: a key is random with at least 128 bits, so its digest does not reveal it.
+/// Does not reveal the key: keys are random and have at least 128 bits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Returns the digest of a key as shown by a caller.
+    /// Returns the digest of a key that a client sent.
     pub fn of_secret(secret: &str) -> Self {
         Self(Sha256::digest(secret.as_bytes()).into())
     }
@@ -26,12 +26,12 @@
         Some(Self(bytes))
     }
 
-    /// Returns 64 hexadecimal digits.
+    /// Returns the digest as 64 hexadecimal digits.
     pub fn to_hex(self) -> String {
         hex::encode(self.0)
     }
 
-    /// Compares with a shown key in constant time.
+    /// Compares with a key in constant time.
     pub fn matches(&self, secret: &str) -> bool {
         self.equals(&Self::of_secret(secret))
     }
@@ -48,14 +48,14 @@
     }
 }
 
-/// Digest of an organisation with a request body.
+/// Digest of an organisation and a request body.
 ///
-/// Two requests of one organisation with equal bodies share it, whatever their request ids.
+/// Requests of one organisation with equal bodies have the same digest, whatever their request ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BodyDigest(pub [u8; 16]);
 
 impl BodyDigest {
-    /// Returns the digest of `body` sent by `org`.
+    /// Returns the digest of a `body` that `org` sent.
     pub fn of_body(org: &str, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         hash.update((org.len() as u64).to_le_bytes());
@@ -67,7 +67,7 @@
         Self(bytes)
     }
 
-    /// Returns 32 hexadecimal digits.
+    /// Returns the digest as 32 hexadecimal digits.
     pub fn to_hex(self) -> String {
         hex::encode(self.0)
     }
@@ -79,7 +79,7 @@
         Some(Self(bytes))
     }
 
-    /// Converts from the bytes of a record; `None` when the length is not 16.
+    /// Converts from the bytes in a record; `None` unless there are 16.
     pub fn from_slice(bytes: &[u8]) -> Option<Self> {
         Some(Self(bytes.try_into().ok()?))
     }
--- a/crates/apricotwell_types/src/lib.rs
+++ b/crates/apricotwell_types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Ids, units, work classes and truthful endings shared by every crate.
+//! Ids, units, work classes, outcomes and refusals shared by every crate.
 //!
 //! # Examples
 //!
@@ -20,7 +20,7 @@
 pub use outcome::{Refusal, RefusalKind, RunOutcome};
 pub use rendezvous::{rendezvous_owner, rendezvous_rank, shard_of};
 
-/// What nearly every user of the workspace needs.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{
         BodyDigest, Fence, InstanceId, KeyDigest, Map, ModelId, Offset, OrgId, Refusal,
@@ -38,53 +38,53 @@
 pub type ModelId = Arc<str>;
 /// Name of an availability zone.
 pub type ZoneId = Arc<str>;
-/// Start number of a process; a restarted process has a higher one.
+/// Incarnation number of a process; a restarted process has a higher one.
 pub type Incarnation = u64;
 /// Position of a record in a log stream.
 pub type Offset = u64;
-/// Fencing number: the offset of the record that granted a lease.
+/// Fencing token of a lease: the offset of the record that granted it.
 pub type Fence = u64;
-/// Replica of a model, named by the offset of the record that decided it.
+/// Id of a replica: the offset of the record that decided to load it.
 pub type ReplicaId = u64;
-/// Index of a duty shard.
+/// Index of a shard.
 pub type Shard = u32;
-/// Count of model tokens.
+/// Number of model tokens.
 pub type Tokens = u64;
-/// Memory of an accelerator in MiB.
+/// Accelerator memory in MiB.
 pub type Mebibytes = u64;
-/// Number of one request on one entry instance.
+/// Number of a request, unique within one entry instance.
 pub type RequestId = u64;
 
 /// Hash map with the workspace's fast hasher.
 ///
-/// Iteration order is not defined: use a `BTreeMap` where order reaches a decision.
+/// Iteration order is unspecified: use a `BTreeMap` where a decision depends on the order.
 pub type Map<K, V> = rustc_hash::FxHashMap<K, V>;
 /// Hash set with the workspace's fast hasher.
 pub type Set<K> = rustc_hash::FxHashSet<K>;
 
-/// How a request is ordered in queues and whether it may be repeated.
+/// Determines a request's priority in queues and whether it may be retried.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkClass {
-    /// Runs at most once: an order or a job release.
+    /// Runs at most once, such as an order or a job release.
     NonIdempotent,
-    /// Must finish by its deadline: an allergen summary.
+    /// Must finish by its deadline, such as an allergen summary.
     HardDeadline,
-    /// Late answers only annoy: chat.
+    /// May finish late, such as a chat message.
     SoftDeadline,
 }
 
 impl WorkClass {
-    /// Every class, most urgent first.
+    /// All classes, most urgent first.
     pub const ALL: [WorkClass; 3] = [
         WorkClass::NonIdempotent,
         WorkClass::HardDeadline,
         WorkClass::SoftDeadline,
     ];
 
-    /// Returns whether a request of this class may be sent a second time.
+    /// Returns whether a request of this class may be sent to a backend server again.
     pub fn is_repeatable(self) -> bool {
         self != WorkClass::NonIdempotent
     }
--- a/crates/apricotwell_types/src/outcome.rs
+++ b/crates/apricotwell_types/src/outcome.rs
@@ -1,13 +1,13 @@
-//! Truthful endings of a request that has no answer.
+//! Outcomes and refusals of requests that got no complete answer.
 
 use std::time::Duration;
 
-/// What is known of a request that did not get its whole answer.
+/// What is known about the execution of a request that got no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RunOutcome {
-    /// No backend server was given the request; a repeat is safe.
+    /// No backend server received the request; a retry is safe.
     NotRun,
-    /// A backend server ran the request and it failed.
+    /// A backend server ran the request, and it failed.
     FailedAfterRun,
     /// A backend server may have run the request.
     Unknown,
@@ -38,33 +38,33 @@
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalKind {
-    /// The body or a header is malformed or beyond a limit.
+    /// The body or a header is malformed or exceeds a limit.
     BadRequest,
-    /// The body is larger than the setting allows.
+    /// The body exceeds the configured size.
     RequestTooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive within the timeout.
     RequestTimeout,
-    /// No key, an unknown key or a withdrawn key.
+    /// The API key is missing, unknown or withdrawn.
     InvalidApiKey,
-    /// The model is unknown or not granted to the organisation.
+    /// The model is unknown, or the organisation has no access to it.
     ModelNotFound,
-    /// No route has this path and method.
+    /// No route matches the path and method.
     RouteNotFound,
-    /// The body crashed backend servers before and is quarantined.
+    /// The body is quarantined because it crashed backend servers.
     Quarantined,
-    /// The organisation is over its rate.
+    /// The organisation exceeded its rate limit.
     RateLimited,
-    /// Queues are full or the deadline can't be met.
+    /// The queues are full or the deadline can't be met.
     Overloaded,
-    /// The deadline passed while the request waited.
+    /// The deadline passed while the request was queued.
     DeadlineExceeded,
-    /// The instance can't confirm that its view is fresh, or is leaving.
+    /// The instance drains or can't confirm that its view of the log is fresh.
     Unavailable,
-    /// The log is down, so a non-idempotent request can't be claimed.
+    /// The log is down, so the idempotency key of a non-idempotent request can't be claimed.
     ClaimUnavailable,
-    /// Another request holds this idempotency key.
+    /// Another request with this idempotency key is in progress.
     IdempotencyKeyInUse,
-    /// The idempotency key came before with another body.
+    /// The idempotency key was used before with a different body.
     IdempotencyKeyReused,
     /// A backend server failed.
     BackendFailed,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Returns the error's `type` field in the callers' interface.
+    /// Returns the `type` field of the error in the client API.
     pub fn error_type(self) -> &'static str {
         match self.status() {
             401 => "authentication_error",
@@ -122,21 +122,21 @@
     }
 }
 
-/// Refusal of a request, as told to its caller.
+/// Refusal of a request, as reported to its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Reason.
     pub kind: RefusalKind,
-    /// What is known of the request's run.
+    /// What is known about the request's execution.
     pub outcome: RunOutcome,
-    /// What happened and what the caller can do.
+    /// What happened and what the client can do about it.
     pub message: String,
-    /// When a repeat can succeed, if known.
+    /// Time after which a retry can succeed, if known.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Returns a refusal of a request that no backend server was given.
+    /// Returns a refusal of a request that no backend server received.
     pub fn not_run(kind: RefusalKind, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -146,13 +146,13 @@
         }
     }
 
-    /// Returns a refusal with another ending than not run.
+    /// Sets the outcome, which is [`RunOutcome::NotRun`] by default.
     pub fn with_outcome(mut self, outcome: RunOutcome) -> Self {
         self.outcome = outcome;
         self
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the client should retry.
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
