--- a/crates/apricotwell_admission/src/lib.rs
+++ b/crates/apricotwell_admission/src/lib.rs
@@ -1,8 +1,9 @@
 //! Fair admission queue with deadlines.
 //!
-//! Organisations share servers by served tokens over their weights; within an organisation the
-//! most urgent class and deadline come first. A flood of one organisation so moves only its own
-//! requests. The choice is argued in `docs/design/admission.md`.
+//! Organisations share the servers by start-time fair queueing: each gets served tokens in
+//! proportion to its weight. Within an organisation, requests are ordered by class and deadline. A
+//! flood of requests from one organisation therefore delays only its own requests. See
+//! `docs/design/admission.md` for the reasons.
 //!
 //! # Examples
 //!
@@ -34,7 +35,7 @@
 pub use queue::{FairQueue, QueueFull, QueuedRequest};
 pub use wait_estimate::WaitEstimate;
 
-/// What nearly every user of the crate needs.
+/// Re-exports of the commonly used items.
 pub mod prelude {
     pub use crate::{FairQueue, QueueFull, QueuedRequest, WaitEstimate};
 }
--- a/crates/apricotwell_admission/src/queue.rs
+++ b/crates/apricotwell_admission/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue.
+//! The fair queue.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -6,32 +6,32 @@
 
 use apricotwell_types::{Map, ModelId, OrgId, RequestId, Tokens, WorkClass};
 
-/// Virtual time of one token at weight 1.
+/// Virtual time that one token takes at weight 1.
 const VIRTUAL_UNIT: u64 = 1 << 10;
 
 /// Request that waits for a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// Request.
+    /// Id of the request.
     pub request: RequestId,
     /// Organisation.
     pub org: OrgId,
-    /// Model, or the pool of a plain service.
+    /// Requested model, or the pool of a plain service.
     pub model: ModelId,
-    /// Class.
+    /// Work class.
     pub class: WorkClass,
-    /// When it must have been given to a server.
+    /// When it must have been dispatched to a server.
     pub deadline: Instant,
     /// Tokens reserved for it.
     pub cost: Tokens,
 }
 
-/// Why a request can't wait.
+/// Why a request can't be queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueFull {
-    /// The organisation has its limit of waiting requests here.
+    /// The organisation has reached its limit of waiting requests on this instance.
     Organisation,
-    /// This instance has its limit of waiting requests.
+    /// This instance has reached its limit of waiting requests.
     Instance,
 }
 
@@ -39,10 +39,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             QueueFull::Organisation => {
-                "too many requests of the organisation wait; send fewer at once"
+                "the organisation has too many waiting requests; send fewer at once"
             }
             QueueFull::Instance => {
-                "too many requests wait on this instance; look up another address"
+                "this instance has too many waiting requests; look up another address"
             }
         })
     }
@@ -57,6 +57,7 @@
     // Virtual start time of the organisation's next request.
     virtual_start: u64,
     weight: u32,
+    // Waiting requests of each model, the most urgent first; never empty.
     models: BTreeMap<ModelId, BTreeMap<Urgency, QueuedRequest>>,
     len: usize,
 }
@@ -70,6 +71,7 @@
 pub struct FairQueue {
     limit: usize,
     len: usize,
+    // Largest virtual start time of a request that was taken.
     virtual_now: u64,
     orgs: Map<OrgId, OrgQueue>,
     order: BTreeSet<(u64, OrgId)>,
@@ -77,7 +79,7 @@
 }
 
 impl FairQueue {
-    /// Returns an empty queue for at most `limit` requests.
+    /// Creates an empty queue for at most `limit` requests.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -94,7 +96,7 @@
         self.len
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -104,11 +106,11 @@
         self.orgs.get(org).map_or(0, |queue| queue.len)
     }
 
-    /// Adds a request.
+    /// Adds a request of an organisation with `weight` and a limit of `max_waiting` requests.
     ///
     /// # Errors
     ///
-    /// Fails when the organisation or the instance is at its limit.
+    /// Fails if the organisation or the instance has reached its limit of waiting requests.
     pub fn push(
         &mut self,
         entry: QueuedRequest,
@@ -125,26 +127,28 @@
         let queue = self.orgs.entry(entry.org.clone()).or_default();
         queue.weight = weight.max(1);
         if queue.len == 0 {
-            // An idle organisation gets no credit for the time that it did not use.
+            // An organisation gets no credit for the time that it was idle.
             queue.virtual_start = queue.virtual_start.max(virtual_now);
             self.order.insert((queue.virtual_start, entry.org.clone()));
         }
         queue.len += 1;
         self.len += 1;
-        let place = (entry.org.clone(), entry.model.clone(), entry.class);
+        let location = (entry.org.clone(), entry.model.clone(), entry.class);
         self.deadlines
-            .insert((entry.deadline, entry.request), place);
+            .insert((entry.deadline, entry.request), location);
         let model = queue.models.entry(entry.model.clone()).or_default();
         model.insert(urgency(&entry), entry);
         Ok(())
     }
 
-    /// Takes the next request whose model can run one now.
+    /// Removes and returns the next request for which `can_run` returns true.
+    ///
+    /// Its tokens are charged to its organisation.
     pub fn pop<F>(&mut self, mut can_run: F) -> Option<QueuedRequest>
     where
         F: FnMut(&QueuedRequest) -> bool,
     {
-        let found = self.order.iter().find_map(|(_, org)| {
+        let next_request = self.order.iter().find_map(|(_, org)| {
             let queue = self.orgs.get(org)?;
             let heads = queue
                 .models
@@ -154,12 +158,12 @@
             heads.sort_unstable_by_key(|entry| urgency(entry));
             heads.into_iter().find(|entry| can_run(entry)).cloned()
         })?;
-        self.charge(&found);
-        self.unlink(&found);
-        Some(found)
+        self.charge(&next_request);
+        self.remove_entry(&next_request);
+        Some(next_request)
     }
 
-    /// Takes a request out, such as one whose caller has gone.
+    /// Removes a request without a charge, for example one whose client has disconnected.
     pub fn remove(&mut self, request: RequestId, deadline: Instant) -> Option<QueuedRequest> {
         let (org, model, class) = self.deadlines.get(&(deadline, request))?.clone();
         let entry = self
@@ -169,18 +173,19 @@
             .get(&model)?
             .get(&(class, deadline, request))?
             .clone();
-        self.unlink(&entry);
+        self.remove_entry(&entry);
         Some(entry)
     }
 
-    /// Takes out the requests whose deadline has passed.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<QueuedRequest> {
-        let late: Vec<(Instant, RequestId)> = self
+        let expired: Vec<(Instant, RequestId)> = self
             .deadlines
             .range(..=(now, RequestId::MAX))
             .map(|(key, _)| *key)
             .collect();
-        late.into_iter()
+        expired
+            .into_iter()
             .filter_map(|(deadline, request)| self.remove(request, deadline))
             .collect()
     }
@@ -190,7 +195,7 @@
         self.deadlines.keys().next().map(|(deadline, _)| *deadline)
     }
 
-    /// Returns for each model how many requests wait and the earliest deadline among them.
+    /// Returns the number of waiting requests and their earliest deadline for each model.
     pub fn demand(&self) -> BTreeMap<ModelId, (usize, Instant)> {
         let mut demand = BTreeMap::new();
         for ((deadline, _), (_, model, _)) in &self.deadlines {
@@ -200,7 +205,7 @@
         demand
     }
 
-    /// Returns how many requests wait for a model.
+    /// Returns the number of requests that wait for a model.
     pub fn waiting_for(&self, model: &str) -> usize {
         let queues = self.orgs.values();
         queues
@@ -220,7 +225,7 @@
         self.order.insert((queue.virtual_start, entry.org.clone()));
     }
 
-    fn unlink(&mut self, entry: &QueuedRequest) {
+    fn remove_entry(&mut self, entry: &QueuedRequest) {
         self.deadlines.remove(&(entry.deadline, entry.request));
         let Some(queue) = self.orgs.get_mut(&entry.org) else {
             return;
@@ -238,7 +243,7 @@
         self.len -= 1;
         if queue.len == 0 {
             self.order.remove(&(queue.virtual_start, entry.org.clone()));
-            // Past virtual times are of no more use; a later push starts at `virtual_now`.
+            // A later push starts at `virtual_now` anyway, so an earlier start time need not be kept.
             if queue.virtual_start <= self.virtual_now {
                 self.orgs.remove(&entry.org);
             }
--- a/crates/apricotwell_admission/src/wait_estimate.rs
+++ b/crates/apricotwell_admission/src/wait_estimate.rs
@@ -1,13 +1,13 @@
-//! Estimate of the wait for a server, for early refusals.
+//! Estimate of the wait for a server, used to refuse requests early.
 
 use std::time::{Duration, Instant};
 
-/// Weight of a new sample, as a divisor.
+/// A new sample has the weight `1 / SMOOTHING` in the average.
 const SMOOTHING: u32 = 8;
-/// Starts after which the estimate counts.
+/// Number of samples below which there is no estimate.
 const MIN_SAMPLES: u32 = 16;
 
-/// Smoothed time between two starts of waiting requests for one model.
+/// Exponentially smoothed time between two starts of waiting requests for one model.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WaitEstimate {
     gap: Duration,
@@ -16,7 +16,9 @@
 }
 
 impl WaitEstimate {
-    /// Notes that a waiting request was given to a server while others still wait.
+    /// Records that a waiting request was dispatched to a server.
+    ///
+    /// `others_wait` is whether more requests for the model are still waiting.
     pub fn record_start(&mut self, now: Instant, others_wait: bool) {
         if let Some(last) = self.last_start {
             let gap = now.saturating_duration_since(last);
@@ -27,11 +29,11 @@
             };
             self.samples += 1;
         }
-        // The gap up to a request that finds an empty queue says nothing of the servers.
+        // The gap before a request that finds an empty queue depends on arrivals, not on servers.
         self.last_start = others_wait.then_some(now);
     }
 
-    /// Returns the expected wait behind `ahead` requests; `None` while too little is known.
+    /// Returns the expected wait behind `ahead` requests, or `None` before there are enough samples.
     pub fn expected_wait(&self, ahead: usize) -> Option<Duration> {
         if self.samples < MIN_SAMPLES {
             return None;
--- a/crates/apricotwell_admission/tests/fairness.rs
+++ b/crates/apricotwell_admission/tests/fairness.rs
@@ -1,11 +1,11 @@
-//! A flood of one organisation against the waits of the others, in virtual time.
+//! Fairness between organisations while one of them floods the queue, in simulated time.
 
 use std::time::{Duration, Instant};
 
 use apricotwell_admission::{FairQueue, QueueFull, QueuedRequest};
 use apricotwell_types::WorkClass;
 
-const SERVICE: Duration = Duration::from_millis(10);
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 const SLOTS: usize = 4;
 
 fn entry(now: Instant, request: u64, org: &str, class: WorkClass) -> QueuedRequest {
@@ -19,8 +19,8 @@
     }
 }
 
-// Serves arrivals for 60 s and returns the 99th percentile of the calm organisation's waits.
-fn calm_wait(flood_per_second: u64) -> Duration {
+// Simulates arrivals for 60 s and returns the 99th percentile of the waits of organisation `calm`.
+fn calm_p99_wait(flood_per_second: u64) -> Duration {
     let start = Instant::now();
     let mut queue = FairQueue::new(1_000_000);
     let mut free: Vec<Instant> = vec![start; SLOTS];
@@ -44,7 +44,7 @@
             if *slot <= now
                 && let Some(next) = queue.pop(|_| true)
             {
-                *slot = now + SERVICE;
+                *slot = now + SERVICE_TIME;
                 if &*next.org == "calm" {
                     waits.push(now + Duration::from_secs(60) - next.deadline);
                 }
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn a_flood_moves_nobody_elses_tail_by_more_than_a_slot() {
-    // Ten times what the servers can do, in the most urgent class.
-    let alone = calm_wait(0);
-    let flooded = calm_wait(4_000);
-    // A request can't start before a slot is free; beyond that the flood must not be felt.
+fn a_flood_delays_other_organisations_by_at_most_one_service_time() {
+    // Ten times the capacity of the servers, in the most urgent class.
+    let alone = calm_p99_wait(0);
+    let flooded = calm_p99_wait(4_000);
+    // A request has to wait for a free slot. The flood must not delay it any further.
     assert!(
-        flooded <= alone + SERVICE,
+        flooded <= alone + SERVICE_TIME,
         "alone {alone:?}, flooded {flooded:?}"
     );
 }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn bounds_hold_and_late_requests_come_out() {
+fn limits_hold_and_expired_requests_are_removed() {
     let now = Instant::now();
     let mut queue = FairQueue::new(3);
     let class = WorkClass::SoftDeadline;
@@ -104,17 +104,17 @@
         queue.push(entry(now, 5, "q", class), 1, 2),
         Err(QueueFull::Instance)
     );
-    let late: Vec<u64> = queue
+    let expired: Vec<u64> = queue
         .remove_expired(now + Duration::from_secs(60))
         .into_iter()
         .map(|entry| entry.request)
         .collect();
-    assert_eq!(late, [1, 2, 4]);
+    assert_eq!(expired, [1, 2, 4]);
     assert!(queue.is_empty() && queue.next_deadline().is_none());
 }
 
 #[test]
-fn weights_share_served_tokens() {
+fn served_tokens_are_shared_by_weight() {
     let now = Instant::now();
     let mut queue = FairQueue::new(10_000);
     for request in 0..3000 {
--- a/crates/apricotwell_membership/src/lib.rs
+++ b/crates/apricotwell_membership/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership by direct and indirect probes.
+//! Group membership and failure detection by direct and indirect probes, similar to SWIM.
 //!
-//! Each member probes one other per period, asks others to probe it when it stays silent, then
-//! suspects it, and declares it dead only if it does not refute the suspicion. Changes travel on
-//! the probes, so the cost of a member does not grow with the fleet. The platform's list seeds the
-//! members and vetoes those that it no longer holds. See `docs/design/membership.md`.
+//! In each period, a member probes one other member. If the probe times out, it requests indirect
+//! probes from other members, then suspects the target, and declares it dead if the target does
+//! not refute the suspicion in time. State changes are piggybacked on the probes, so the load per
+//! member does not grow with the fleet. Members are also added from the platform's list; a dead
+//! member that is no longer listed is dropped after a while. See `docs/design/membership.md`.
 //!
 //! # Examples
 //!
@@ -17,7 +18,7 @@
 //! let mut members = Membership::new(now, me, 1, Timing::default(), 42);
 //! members.set_list(now, &[other]);
 //! let sent = members.tick(now + Duration::from_secs(1));
-//! assert!(sent.iter().any(|out| &*out.to.id == "entry-2"));
+//! assert!(sent.iter().any(|outgoing| &*outgoing.to.id == "entry-2"));
 //! ```
 
 mod member;
@@ -26,7 +27,7 @@
 pub use member::{Contact, Member, MemberState, Update};
 pub use membership::{Membership, OutgoingMessage, ProbeMessage, Timing};
 
-/// What nearly every user of the crate needs.
+/// Re-exports of the commonly used items.
 pub mod prelude {
     pub use crate::{
         Contact, Member, MemberState, Membership, OutgoingMessage, ProbeMessage, Timing, Update,
--- a/crates/apricotwell_membership/src/member.rs
+++ b/crates/apricotwell_membership/src/member.rs
@@ -1,65 +1,68 @@
-//! A member as others see it.
+//! Members and their states.
 
 use std::time::Instant;
 
 use apricotwell_types::{Incarnation, InstanceId, ZoneId};
 
-/// Where a member is.
+/// Identity and location of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contact {
-    /// Instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Address for peers as `ip:port`.
+    /// Address for messages from peers, as `ip:port`.
     pub address: String,
     /// Availability zone.
     pub zone: ZoneId,
 }
 
-/// State of a member; a later one overrides an earlier one of the same incarnation and round.
+/// State of a member.
+///
+/// Within an incarnation and revision, a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// Answers probes.
+    /// Is presumed to answer probes.
     Alive,
-    /// Does not answer; may still refute.
+    /// Did not answer probes; can still refute the suspicion.
     Suspect,
-    /// Drains and takes no duties.
+    /// Drains and takes no new leases or clients.
     Leaving,
-    /// Gone for this incarnation.
+    /// Has failed or left; only a higher revision or incarnation overrides it.
     Dead,
 }
 
-/// News of a member that travels on probes.
+/// State of a member as it is spread on probes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update {
-    /// Where it is.
+    /// Identity and location.
     pub contact: Contact,
-    /// Start number of its process.
+    /// Incarnation of its process; 0 for a listed member that no message has come from yet.
     pub incarnation: Incarnation,
-    /// How often it has refuted a suspicion.
+    /// Counter that the member raises to refute a suspicion or to announce that it leaves.
     pub revision: u32,
     /// State.
     pub state: MemberState,
 }
 
-/// Member as this instance knows it.
+/// Member as this instance sees it.
 ///
 /// # Invariants
 ///
-/// News override what is known only with a higher `(incarnation, round, state)`.
+/// An update received from a peer replaces `update` only if its `(incarnation, revision, state)` is
+/// higher.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Latest news.
+    /// Latest update.
     pub update: Update,
-    /// When the state was entered.
+    /// When it entered its state.
     pub since: Instant,
-    /// Whether the platform's list holds it.
+    /// Whether it is on the platform's list.
     pub listed: bool,
-    /// How often the news have been passed on.
+    /// Number of messages that have carried the latest update.
     pub transmissions: u32,
 }
 
 impl Update {
-    // A leaving member stays leaving when it refutes a suspicion.
+    // The revision precedes the state, so that a leaving member can refute and stays `Leaving`.
     pub(crate) fn rank(&self) -> (Incarnation, u32, MemberState) {
         (self.incarnation, self.revision, self.state)
     }
--- a/crates/apricotwell_membership/src/membership.rs
+++ b/crates/apricotwell_membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The protocol.
+//! The membership protocol.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,23 +11,23 @@
 
 use crate::member::{Contact, Member, MemberState, Update};
 
-/// News on one message; bounds its size.
-const MAX_NEWS: usize = 6;
-/// Times that news are passed on, multiplied by the logarithm of the number of members.
-const TELL_FACTOR: u32 = 3;
-/// Members asked to probe a silent one.
-const HELPERS: usize = 3;
+/// Largest number of updates in a message, besides one about its receiver; bounds its size.
+const MAX_UPDATES: usize = 6;
+/// Number of times that an update is sent, per binary logarithm of the number of members.
+const TRANSMIT_FACTOR: u32 = 3;
+/// Number of members that are asked to probe one whose direct probe timed out.
+const INDIRECT_PROBES: usize = 3;
 
-/// Periods of the protocol.
+/// Periods and timeouts of the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time between two probes.
+    /// Time between two direct probes.
     pub period: Duration,
-    /// Time in which a direct probe must be answered; twice that for an indirect one.
+    /// Timeout of a direct probe; indirect probes get twice as long.
     pub timeout: Duration,
-    /// Time in which a suspected member can refute.
+    /// Time that a suspected member has to refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// Time for which a dead member is remembered.
+    /// Time for which a dead member that is not listed is kept.
     pub dead_retention: Duration,
 }
 
@@ -42,36 +42,36 @@
     }
 }
 
-/// Message between members.
+/// Message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbeMessage {
-    /// Asks for an answer.
+    /// Requests an [`Ack`](Self::Ack).
     Ping {
-        /// Number that the answer repeats.
+        /// Sequence number, repeated in the answer.
         number: u64,
     },
     /// Answers a ping.
     Ack {
-        /// Number of the ping.
+        /// Sequence number of the ping.
         number: u64,
     },
-    /// Asks the receiver to ping `target` and to pass its answer back.
+    /// Asks the receiver to ping `target` and to return its answer.
     PingFor {
-        /// Number that the answer repeats.
+        /// Sequence number, repeated in the answer.
         number: u64,
         /// Member to ping.
         target: InstanceId,
     },
 }
 
-/// Message to send, with news for the receiver.
+/// Message to send, with the updates that it carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
     /// Receiver.
     pub to: Contact,
     /// Message.
     pub message: ProbeMessage,
-    /// News.
+    /// Updates for the receiver.
     pub updates: Vec<Update>,
 }
 
@@ -79,17 +79,21 @@
 struct Pending {
     target: InstanceId,
     sent: Instant,
-    asked_helpers: bool,
-    // Member and number to which the answer is passed back.
-    asked_by: Option<(InstanceId, u64)>,
+    // Whether indirect probes have been requested, whose answers count as well.
+    is_indirect: bool,
+    // For a probe on behalf of another member: that member and the number of its request.
+    requester: Option<(InstanceId, u64)>,
 }
 
 /// Members of the fleet as this instance sees them.
+///
+/// Sends nothing itself: its methods return the messages to send.
 #[derive(Debug)]
 pub struct Membership {
     own: Update,
     timing: Timing,
     members: BTreeMap<InstanceId, Member>,
+    // Members still to be probed in this round, the next one last.
     rotation: Vec<InstanceId>,
     pending: BTreeMap<u64, Pending>,
     last_number: u64,
@@ -98,7 +102,9 @@
 }
 
 impl Membership {
-    /// Returns a membership that knows only itself.
+    /// Creates a membership without other members.
+    ///
+    /// `seed` determines the order of probes and the choice of indirect probes.
     pub fn new(
         now: Instant,
         me: Contact,
@@ -124,9 +130,10 @@
         }
     }
 
-    /// Takes the platform's list of live instances, this one left out or not.
+    /// Applies the platform's list of live instances, which may include this one.
     ///
-    /// A member missing from it is forgotten once it no longer answers probes.
+    /// Adds listed instances as members. A member that is not listed is kept until it has been dead
+    /// for [`Timing::dead_retention`].
     pub fn set_list(&mut self, now: Instant, list: &[Contact]) {
         for member in self.members.values_mut() {
             member.listed = false;
@@ -156,29 +163,29 @@
         }
     }
 
-    /// Returns the members that answer or may still answer, this instance left out.
+    /// Returns the members that are not dead, without this instance.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
             .filter(|member| member.update.state != MemberState::Dead)
     }
 
-    /// Returns all known members, dead ones included, this instance left out.
+    /// Returns all members, including dead ones, without this instance.
     pub fn all_members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns a member, dead ones included.
+    /// Returns a member, even if it is dead.
     pub fn get(&self, id: &str) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// Returns this instance's own news.
+    /// Returns the update about this instance.
     pub fn own_update(&self) -> &Update {
         &self.own
     }
 
-    /// Announces to every member that this instance drains.
+    /// Changes to [`MemberState::Leaving`] and returns messages that announce it to every member.
     pub fn leave(&mut self, now: Instant) -> Vec<OutgoingMessage> {
         self.own.state = MemberState::Leaving;
         self.own.revision += 1;
@@ -188,7 +195,7 @@
             .collect()
     }
 
-    /// Sends what is due.
+    /// Expires probes and members, and returns the probes that are due.
     pub fn tick(&mut self, now: Instant) -> Vec<OutgoingMessage> {
         let mut out = Vec::new();
         self.expire_pending(now, &mut out);
@@ -202,13 +209,13 @@
         out
     }
 
-    /// Returns when the ping was sent that `sender` itself answers with `number`.
+    /// Returns when ping `number` was sent, if it is pending and was sent to `sender` itself.
     pub fn ping_sent_at(&self, number: u64, sender: &str) -> Option<Instant> {
         let pending = self.pending.get(&number)?;
         (*pending.target == *sender).then_some(pending.sent)
     }
 
-    /// Takes a message and returns what to send.
+    /// Handles a message and returns the messages to send.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -216,40 +223,40 @@
         message: ProbeMessage,
         updates: &[Update],
     ) -> Vec<OutgoingMessage> {
-        self.learn(now, from);
+        self.apply_update(now, from);
         for update in updates {
-            self.learn(now, update);
+            self.apply_update(now, update);
         }
         let sender = from.contact.clone();
         match message {
             ProbeMessage::Ping { number } => {
-                vec![self.outgoing(sender, ProbeMessage::Ack { number })]
+                vec![self.build_message(sender, ProbeMessage::Ack { number })]
             }
             ProbeMessage::Ack { number } => self.receive_ack(number, &sender.id),
             ProbeMessage::PingFor { number, target } => {
-                let asked_by = Some((sender.id, number));
-                self.ping(now, target, asked_by).into_iter().collect()
+                let requester = Some((sender.id, number));
+                self.ping(now, target, requester).into_iter().collect()
             }
         }
     }
 
     fn receive_ack(&mut self, number: u64, sender: &str) -> Vec<OutgoingMessage> {
-        let speaks = |pending: &Pending| pending.asked_helpers || *pending.target == *sender;
-        if !self.pending.get(&number).is_some_and(speaks) {
+        let is_expected = |pending: &Pending| pending.is_indirect || *pending.target == *sender;
+        if !self.pending.get(&number).is_some_and(is_expected) {
             return Vec::new();
         }
         let Some(pending) = self.pending.remove(&number) else {
             return Vec::new();
         };
-        let Some((asker, number)) = pending.asked_by else {
+        let Some((member_id, number)) = pending.requester else {
             return Vec::new();
         };
         let contact = self
             .members
-            .get(&asker)
+            .get(&member_id)
             .map(|member| member.update.contact.clone());
         contact
-            .map(|contact| self.outgoing(contact, ProbeMessage::Ack { number }))
+            .map(|contact| self.build_message(contact, ProbeMessage::Ack { number }))
             .into_iter()
             .collect()
     }
@@ -258,7 +265,7 @@
         &mut self,
         now: Instant,
         target: InstanceId,
-        asked_by: Option<(InstanceId, u64)>,
+        requester: Option<(InstanceId, u64)>,
     ) -> Option<OutgoingMessage> {
         let contact = self.members.get(&target)?.update.contact.clone();
         self.last_number += 1;
@@ -266,14 +273,14 @@
         let pending = Pending {
             target,
             sent: now,
-            asked_helpers: false,
-            asked_by,
+            is_indirect: false,
+            requester,
         };
         self.pending.insert(number, pending);
-        Some(self.outgoing(contact, ProbeMessage::Ping { number }))
+        Some(self.build_message(contact, ProbeMessage::Ping { number }))
     }
 
-    // Each member is probed once per round in an order that no two members share.
+    // Probes each member once per round, in a random order that differs between instances.
     fn next_target(&mut self) -> Option<InstanceId> {
         loop {
             if self.rotation.is_empty() {
@@ -290,32 +297,38 @@
 
     fn expire_pending(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         let timeout = self.timing.timeout;
-        let mut silent = Vec::new();
+        let mut timed_out = Vec::new();
         let mut unanswered = Vec::new();
         for (number, pending) in &mut self.pending {
             let waited = now.saturating_duration_since(pending.sent);
             if waited >= timeout * 3 {
                 unanswered.push(*number);
-            } else if waited >= timeout && !pending.asked_helpers && pending.asked_by.is_none() {
-                pending.asked_helpers = true;
-                silent.push((*number, pending.target.clone()));
+            } else if waited >= timeout && !pending.is_indirect && pending.requester.is_none() {
+                pending.is_indirect = true;
+                timed_out.push((*number, pending.target.clone()));
             }
         }
-        for (number, target) in silent {
-            self.ask_helpers(number, &target, out);
+        for (number, target) in timed_out {
+            self.request_indirect_probes(number, &target, out);
         }
         for number in unanswered {
             let Some(pending) = self.pending.remove(&number) else {
                 continue;
             };
-            if pending.asked_by.is_none() {
+            if pending.requester.is_none() {
                 self.suspect(now, &pending.target);
             }
         }
     }
 
-    // Helpers in other zones come first: they tell a lost zone from a lost member.
-    fn ask_helpers(&mut self, number: u64, target: &InstanceId, out: &mut Vec<OutgoingMessage>) {
+    // Prefers helpers in other zones: their answers distinguish an unreachable zone from a failed
+    // member.
+    fn request_indirect_probes(
+        &mut self,
+        number: u64,
+        target: &InstanceId,
+        out: &mut Vec<OutgoingMessage>,
+    ) {
         let own_zone = self.own.contact.zone.clone();
         let mut helpers: Vec<(bool, u32, Contact)> = Vec::new();
         for (id, member) in &self.members {
@@ -323,13 +336,13 @@
                 continue;
             }
             let contact = member.update.contact.clone();
-            let order = self.random.random();
-            helpers.push((contact.zone == own_zone, order, contact));
+            let tie_breaker = self.random.random();
+            helpers.push((contact.zone == own_zone, tie_breaker, contact));
         }
-        helpers.sort_unstable_by_key(|(same_zone, order, _)| (*same_zone, *order));
-        for (_, _, helper) in helpers.into_iter().take(HELPERS) {
+        helpers.sort_unstable_by_key(|(same_zone, tie_breaker, _)| (*same_zone, *tie_breaker));
+        for (_, _, helper) in helpers.into_iter().take(INDIRECT_PROBES) {
             let target = target.clone();
-            out.push(self.outgoing(helper, ProbeMessage::PingFor { number, target }));
+            out.push(self.build_message(helper, ProbeMessage::PingFor { number, target }));
         }
     }
 
@@ -368,7 +381,7 @@
         });
     }
 
-    fn learn(&mut self, now: Instant, update: &Update) {
+    fn apply_update(&mut self, now: Instant, update: &Update) {
         if update.contact.id == self.own.contact.id {
             self.refute(update);
             return;
@@ -396,14 +409,14 @@
     }
 
     fn refute(&mut self, update: &Update) {
-        let accuses = matches!(update.state, MemberState::Suspect | MemberState::Dead);
-        let current = update.incarnation == self.own.incarnation || update.incarnation == 0;
-        if accuses && current && update.revision >= self.own.revision {
+        let is_accusation = matches!(update.state, MemberState::Suspect | MemberState::Dead);
+        let is_current = update.incarnation == self.own.incarnation || update.incarnation == 0;
+        if is_accusation && is_current && update.revision >= self.own.revision {
             self.own.revision = update.revision + 1;
         }
     }
 
-    fn outgoing(&mut self, to: Contact, message: ProbeMessage) -> OutgoingMessage {
+    fn build_message(&mut self, to: Contact, message: ProbeMessage) -> OutgoingMessage {
         let updates = self.updates_for(&to.id);
         OutgoingMessage {
             to,
@@ -412,24 +425,24 @@
         }
     }
 
-    // The least told news come first. What is thought of the receiver always goes along, so that
-    // it can refute.
+    // Returns the updates that have been sent least often. If the receiver is not alive in the view
+    // of this instance, that update is always included, so that the receiver can refute it.
     fn updates_for(&mut self, receiver: &str) -> Vec<Update> {
-        let limit = TELL_FACTOR * (self.members.len() + 1).ilog2().max(1);
+        let limit = TRANSMIT_FACTOR * (self.members.len() + 1).ilog2().max(1);
         let mut updates = Vec::new();
         if let Some(member) = self.members.get(receiver)
             && member.update.state != MemberState::Alive
         {
             updates.push(member.update.clone());
         }
-        let mut fresh: Vec<(u32, InstanceId)> = self
+        let mut due: Vec<(u32, InstanceId)> = self
             .members
             .iter()
             .filter(|(id, member)| ***id != *receiver && member.transmissions < limit)
             .map(|(id, member)| (member.transmissions, id.clone()))
             .collect();
-        fresh.sort_unstable();
-        for (_, id) in fresh.into_iter().take(MAX_NEWS) {
+        due.sort_unstable();
+        for (_, id) in due.into_iter().take(MAX_UPDATES) {
             if let Some(member) = self.members.get_mut(&id) {
                 member.transmissions += 1;
                 updates.push(member.update.clone());
--- a/crates/apricotwell_node/src/node/coordination.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -152,7 +152,7 @@
             // A new lease holder does not know when the model was last used, so it assumes now.
             if fence_of(&replica.model).is_some() && self.demand.last_use(&replica.model).is_none()
             {
-                self.demand.mark_used(now, &replica.model);
+                self.demand.assume_used(now, &replica.model);
             }
         }
         let servers = self.servers.views(now, state);
--- a/crates/apricotwell_placement/src/demand.rs
+++ b/crates/apricotwell_placement/src/demand.rs
@@ -1,26 +1,27 @@
-//! Demand for models as entry instances tell it.
+//! Demand for models, as reported by the instances.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use apricotwell_types::{InstanceId, ModelId};
 
-/// Use of a model on one instance.
+/// Usage of a model on one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModelUsage {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Earliest deadline among those waiting.
+    /// Earliest deadline of the waiting requests.
     pub deadline: Instant,
 }
 
 #[derive(Debug)]
 struct ModelDemand {
-    uses: BTreeMap<InstanceId, (Instant, ModelUsage)>,
+    // The last report of each instance and when it was received.
+    usages: BTreeMap<InstanceId, (Instant, ModelUsage)>,
     last_use: Instant,
-    // Smoothed pause between two times of use.
+    // Exponentially weighted mean of the gaps between periods of use.
     mean_gap: Option<Duration>,
 }
 
@@ -28,7 +29,7 @@
 ///
 /// # Invariants
 ///
-/// What an instance told counts for `lifetime` only, so an instance that died stops counting.
+/// A report counts for `lifetime` only, so the demand of a failed instance expires.
 #[derive(Debug)]
 pub struct DemandTable {
     lifetime: Duration,
@@ -36,7 +37,7 @@
 }
 
 impl DemandTable {
-    /// Returns a table in which news count for `lifetime`.
+    /// Creates a table in which a report counts for `lifetime`.
     pub fn new(lifetime: Duration) -> Self {
         Self {
             lifetime,
@@ -44,61 +45,69 @@
         }
     }
 
-    /// Notes what an instance tells of a model.
-    pub fn record_usage(&mut self, now: Instant, model: &str, instance: &str, told: ModelUsage) {
+    /// Records the usage of a model that an instance reported.
+    pub fn record_usage(&mut self, now: Instant, model: &str, instance: &str, usage: ModelUsage) {
         let lifetime = self.lifetime;
         let entry = self.entry(now, model);
         let gap = now.saturating_duration_since(entry.last_use);
         if gap > lifetime {
-            entry.mean_gap = Some(entry.mean_gap.map_or(gap, |usual| (usual * 3 + gap) / 4));
+            entry.mean_gap = Some(entry.mean_gap.map_or(gap, |mean| (mean * 3 + gap) / 4));
         }
         entry.last_use = now;
-        entry.uses.insert(instance.into(), (now, told));
+        entry.usages.insert(instance.into(), (now, usage));
     }
 
-    /// Counts a model as used now, when its history is not known.
-    pub fn mark_used(&mut self, now: Instant, model: &str) {
+    /// Assumes that a model was last used now, unless it has a recorded last use.
+    pub fn assume_used(&mut self, now: Instant, model: &str) {
         self.entry(now, model);
     }
 
-    /// Returns the requests waiting for a model.
+    /// Returns the number of requests that wait for a model.
     pub fn waiting(&self, now: Instant, model: &str) -> u32 {
-        self.current(now, model).map(|told| told.waiting).sum()
+        self.current_usages(now, model)
+            .map(|usage| usage.waiting)
+            .sum()
     }
 
-    /// Returns the requests running on a model.
+    /// Returns the number of requests that run on a model.
     pub fn running(&self, now: Instant, model: &str) -> u32 {
-        self.current(now, model).map(|told| told.running).sum()
+        self.current_usages(now, model)
+            .map(|usage| usage.running)
+            .sum()
     }
 
-    /// Returns the earliest deadline among those waiting for a model.
+    /// Returns the earliest deadline of the requests that wait for a model.
     pub fn earliest_deadline(&self, now: Instant, model: &str) -> Option<Instant> {
-        let waiting = self.current(now, model).filter(|told| told.waiting > 0);
-        waiting.map(|told| told.deadline).min()
+        let waiting = self
+            .current_usages(now, model)
+            .filter(|usage| usage.waiting > 0);
+        waiting.map(|usage| usage.deadline).min()
     }
 
-    /// Returns when a model was last in use.
+    /// Returns when usage of a model was last reported or assumed.
     pub fn last_use(&self, model: &str) -> Option<Instant> {
         self.models.get(model).map(|entry| entry.last_use)
     }
 
-    /// Returns the usual pause between two times of use.
+    /// Returns the smoothed gap between periods of use, or `None` before the first gap.
+    ///
+    /// Only gaps longer than the lifetime of a report count.
     pub fn mean_gap(&self, model: &str) -> Option<Duration> {
         self.models.get(model).and_then(|entry| entry.mean_gap)
     }
 
-    /// Returns the models with requests waiting, the most urgent first.
+    /// Returns the models with waiting requests, the earliest deadline first.
     pub fn requested_models(&self, now: Instant) -> Vec<ModelId> {
-        let mut wanted: Vec<(Instant, ModelId)> = self
+        let mut by_deadline: Vec<(Instant, ModelId)> = self
             .models
             .keys()
             .filter_map(|model| Some((self.earliest_deadline(now, model)?, model.clone())))
             .collect();
-        wanted.sort();
-        wanted.into_iter().map(|(_, model)| model).collect()
+        by_deadline.sort();
+        by_deadline.into_iter().map(|(_, model)| model).collect()
     }
 
-    /// Forgets models for which `keep` is false.
+    /// Removes the models for which `keep` returns false.
     pub fn retain<F>(&mut self, mut keep: F)
     where
         F: FnMut(&str) -> bool,
@@ -110,18 +119,19 @@
         self.models
             .entry(model.into())
             .or_insert_with(|| ModelDemand {
-                uses: BTreeMap::new(),
+                usages: BTreeMap::new(),
                 last_use: now,
                 mean_gap: None,
             })
     }
 
-    fn current(&self, now: Instant, model: &str) -> impl Iterator<Item = &ModelUsage> {
+    fn current_usages(&self, now: Instant, model: &str) -> impl Iterator<Item = &ModelUsage> {
         let lifetime = self.lifetime;
-        let uses = self.models.get(model).map(|entry| entry.uses.values());
-        uses.into_iter()
+        let usages = self.models.get(model).map(|entry| entry.usages.values());
+        usages
+            .into_iter()
             .flatten()
             .filter(move |(at, _)| now < *at + lifetime)
-            .map(|(_, told)| told)
+            .map(|(_, usage)| usage)
     }
 }
--- a/crates/apricotwell_placement/src/lib.rs
+++ b/crates/apricotwell_placement/src/lib.rs
@@ -1,8 +1,9 @@
 //! Decisions to load and unload replicas.
 //!
-//! The holder of a model's shard plans from the folded state and from the demand that entry
-//! instances tell it. Plans become records; the fold enforces memory and replica limits, so a plan
-//! made on a late view is rejected and never harms. See `docs/design/placement.md`.
+//! The lease holder of a model's shard plans from the replicated state and from the demand that
+//! other instances report to it. Plans are appended to the log as records. The state machine
+//! enforces memory and replica limits when it applies them, so it rejects a plan that was made from
+//! an outdated view. See `docs/design/placement.md`.
 //!
 //! # Examples
 //!
@@ -22,7 +23,7 @@
 pub use demand::{DemandTable, ModelUsage};
 pub use planner::{PlacementPlanner, PlacementView, PlanStep, ServerView};
 
-/// What nearly every user of the crate needs.
+/// Re-exports of the commonly used items.
 pub mod prelude {
     pub use crate::{
         DemandTable, ModelUsage, PlacementPlanner, PlacementView, PlanStep, ServerView,
--- a/crates/apricotwell_placement/src/planner.rs
+++ b/crates/apricotwell_placement/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner.
+//! The placement planner.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,36 +8,37 @@
 
 use crate::DemandTable;
 
-/// Records planned at once.
+/// Largest number of steps in a plan.
 const MAX_STEPS: usize = 16;
-/// Idle time below which a replica is not taken from its model for another one.
-const MIN_IDLE: Duration = Duration::from_secs(10);
-/// Pause after a first failed load; doubled by each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause after failed loads.
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
-/// Pauses between uses up to this multiple of `keep_warm_s` are waited out with the replica kept.
-const GAP_MULTIPLE: u32 = 2;
-
-/// Server as this instance sees it besides the ledger.
+/// Time that a model must have been idle before its replica is unloaded for another model.
+const MIN_IDLE_TIME: Duration = Duration::from_secs(10);
+/// Delay before the retry of a load that failed for the first time; doubles with each failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// Largest delay before the retry of a failed load.
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
+/// Multiple of `keep_warm_s` up to which the mean gap between uses extends the time that an idle
+/// replica is kept.
+const MAX_GAP_FACTOR: u32 = 2;
+
+/// What this instance knows of a server beyond the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerView {
-    /// Whether it answers and is not leaving.
+    /// Whether it answers and is not draining.
     pub usable: bool,
-    /// Models whose weights it has in memory or on disk.
+    /// Models whose weights it has in memory or on disk, so that they load faster there.
     pub cached: Set<ModelId>,
 }
 
-/// What a plan is made from.
+/// Input of the planner.
 #[derive(Debug)]
 pub struct PlacementView<'a> {
-    /// Folded state.
+    /// Replicated state.
     pub state: &'a State,
-    /// Demand for held models.
+    /// Demand for the models whose shards this instance holds.
     pub demand: &'a DemandTable,
-    /// Servers as seen from here.
+    /// Servers as this instance sees them.
     pub servers: &'a BTreeMap<ServerId, ServerView>,
-    /// Replicas whose load has been undetermined for too long to be counted on.
+    /// Replicas whose load is abandoned because its outcome has been unknown for too long.
     pub stuck: &'a Set<ReplicaId>,
 }
 
@@ -52,82 +53,86 @@
         version: String,
         /// Server.
         server: ServerId,
-        /// Fence of the model's shard.
+        /// Fencing token of the lease on the model's shard.
         fence: Fence,
     },
-    /// Unload a replica of a held model.
+    /// Unload a replica of a model whose shard this instance holds.
     Retire {
         /// Replica.
         replica: ReplicaId,
-        /// Fence of the model's shard.
+        /// Fencing token of the lease on the model's shard.
         fence: Fence,
     },
-    /// Ask the holder of another model to unload an idle replica.
+    /// Ask the lease holder of another model to unload an idle replica.
     Reclaim {
         /// Replica.
         replica: ReplicaId,
     },
 }
 
-/// Plans for the models whose shards this instance holds.
+/// Plans loads and unloads for the models whose shards this instance holds.
 #[derive(Debug, Default)]
 pub struct PlacementPlanner {
-    // Why a wanted model is not being loaded, for operators.
+    // Why a requested model is not being loaded, shown to operators.
     reasons: BTreeMap<ModelId, String>,
-    failures: BTreeMap<ModelId, Failure>,
+    failures: BTreeMap<ModelId, LoadFailures>,
 }
 
 #[derive(Debug)]
-struct Failure {
+struct LoadFailures {
     count: u32,
-    retry: Instant,
+    retry_at: Instant,
 }
 
-struct Budget {
+struct PlanBudget {
+    // Numbers of loads that can still be started.
     models: usize,
     adapters: usize,
     steps: Vec<PlanStep>,
-    // Memory that earlier steps of this plan take.
-    taken: BTreeMap<ServerId, Mebibytes>,
+    // Memory that loads of this plan will take.
+    reserved: BTreeMap<ServerId, Mebibytes>,
 }
 
 impl PlacementPlanner {
-    /// Returns why a wanted model is not being loaded.
+    /// Returns why a requested model is not being loaded, according to the last plan.
     pub fn reason(&self, model: &str) -> Option<&str> {
         self.reasons.get(model).map(String::as_str)
     }
 
-    /// Notes a load that its server failed; the model is not loaded again for a while.
+    /// Records a load that failed on its server; the model is loaded again after a backoff.
     pub fn record_load_failure(&mut self, now: Instant, model: &str) {
-        let failure = self.failures.entry(model.into()).or_insert(Failure {
+        let failure = self.failures.entry(model.into()).or_insert(LoadFailures {
             count: 0,
-            retry: now,
+            retry_at: now,
         });
-        let pause = FIRST_PAUSE.saturating_mul(1 << failure.count.min(8));
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << failure.count.min(8));
         failure.count += 1;
-        failure.retry = now + pause.min(LONGEST_PAUSE);
+        failure.retry_at = now + backoff.min(MAX_BACKOFF);
     }
 
-    /// Notes a load that succeeded.
+    /// Records a load that succeeded, which resets the backoff.
     pub fn record_load_success(&mut self, model: &str) {
         self.failures.remove(model);
     }
 
-    /// Plans the next steps; `fence_of` gives the fence of a model that is held right now.
+    /// Plans the next steps.
+    ///
+    /// `fence_of` returns the fencing token of the lease on a model's shard if this instance holds it,
+    /// or `None`.
     pub fn plan<F>(&mut self, now: Instant, view: &PlacementView<'_>, fence_of: F) -> Vec<PlanStep>
     where
         F: Fn(&str) -> Option<Fence>,
     {
         self.reasons.clear();
-        let (models, adapters) = in_flight(view);
+        let (models, adapters) = loads_in_flight(view);
         let store = view.state.store();
-        let mut budget = Budget {
+        let mut budget = PlanBudget {
             models: (store.parallel_loads as usize).saturating_sub(models),
             adapters: (store.parallel_adapters as usize).saturating_sub(adapters),
             steps: Vec::new(),
-            taken: BTreeMap::new(),
+            reserved: BTreeMap::new(),
         };
-        for model in self.wanted_models(now, view, &fence_of) {
+        for model in self.load_candidates(now, view, &fence_of) {
             if budget.steps.len() >= MAX_STEPS {
                 break;
             }
@@ -137,9 +142,9 @@
             if self
                 .failures
                 .get(&model)
-                .is_some_and(|failure| now < failure.retry)
+                .is_some_and(|failure| now < failure.retry_at)
             {
-                let reason = "its last load failed; it is tried again after a pause";
+                let reason = "its last load failed; it is retried after a backoff";
                 self.reasons.insert(model, reason.to_owned());
                 continue;
             }
@@ -149,19 +154,25 @@
         budget.steps
     }
 
-    // Models with waiting requests by deadline, then those below their least number of replicas
-    // or with a version to roll.
-    fn wanted_models<F>(&self, now: Instant, view: &PlacementView<'_>, fence_of: &F) -> Vec<ModelId>
+    // Returns the models that may need a load: those with waiting requests by deadline, then the base
+    // models of adapters among them, then those with a minimum number of replicas or with replicas
+    // of an outdated version.
+    fn load_candidates<F>(
+        &self,
+        now: Instant,
+        view: &PlacementView<'_>,
+        fence_of: &F,
+    ) -> Vec<ModelId>
     where
         F: Fn(&str) -> Option<Fence>,
     {
-        let mut wanted = view.demand.requested_models(now);
-        // An adapter waits for its base model first.
-        let bases: Vec<ModelId> = wanted
+        let mut candidates = view.demand.requested_models(now);
+        // An adapter can only be loaded on a server that has loaded its base model.
+        let bases: Vec<ModelId> = candidates
             .iter()
             .filter_map(|model| model.split_once(':').map(|(base, _)| base.into()))
             .collect();
-        wanted.extend(bases);
+        candidates.extend(bases);
         for (name, settings) in view.state.models() {
             let outdated = view
                 .state
@@ -169,12 +180,12 @@
                 .replicas_of(name)
                 .any(|(_, replica)| replica.version != settings.version);
             if (settings.min_replicas > 0 || outdated) && fence_of(name).is_some() {
-                wanted.push(name.into());
+                candidates.push(name.into());
             }
         }
         let mut seen = Set::default();
-        wanted.retain(|model| seen.insert(model.clone()));
-        wanted
+        candidates.retain(|model| seen.insert(model.clone()));
+        candidates
     }
 
     fn plan_loads<F>(
@@ -183,7 +194,7 @@
         view: &PlacementView<'_>,
         model: &ModelId,
         fence: Fence,
-        budget: &mut Budget,
+        budget: &mut PlanBudget,
         fence_of: &F,
     ) where
         F: Fn(&str) -> Option<Fence>,
@@ -192,13 +203,13 @@
             return;
         };
         let present = count_present(view, model, &version);
-        let want = self.want(now, view, model, &version);
-        if present >= want {
+        let target = self.target_replicas(now, view, model, &version);
+        if present >= target {
             return;
         }
-        let all = view.state.ledger().count_towards_limit(model, fence);
-        if all >= max_replicas as usize {
-            self.explain_limit(view, model, &version, budget, fence);
+        let counted = view.state.ledger().count_towards_limit(model, fence);
+        if counted >= max_replicas as usize {
+            self.handle_replica_limit(view, model, &version, budget, fence);
             return;
         }
         let is_adapter = model.contains(':');
@@ -210,14 +221,15 @@
         if *slots == 0 {
             self.reasons.insert(
                 model.clone(),
-                "the weight store has all loads in flight that /platform/store allows".to_owned(),
+                "as many loads from the weight store are in flight as /platform/store allows"
+                    .to_owned(),
             );
             return;
         }
-        match choose_server(view, model, memory, &budget.taken) {
+        match choose_server(view, model, memory, &budget.reserved) {
             Some(server) => {
                 *slots -= 1;
-                *budget.taken.entry(server.clone()).or_default() += memory;
+                *budget.reserved.entry(server.clone()).or_default() += memory;
                 budget.steps.push(PlanStep::Load {
                     model: model.clone(),
                     version,
@@ -229,11 +241,17 @@
         }
     }
 
-    // How many replicas of the present version there should be.
-    fn want(&self, now: Instant, view: &PlacementView<'_>, model: &str, version: &str) -> usize {
+    // Returns how many replicas of the current version there should be.
+    fn target_replicas(
+        &self,
+        now: Instant,
+        view: &PlacementView<'_>,
+        model: &str,
+        version: &str,
+    ) -> usize {
         let waiting = view.demand.waiting(now, model);
         let settings = view.state.model(model);
-        let least = settings.map_or(0, |settings| settings.min_replicas as usize);
+        let minimum = settings.map_or(0, |settings| settings.min_replicas as usize);
         let slots = settings
             .and_then(|settings| view.state.pool(&settings.pool))
             .map_or(1, |pool| pool.slots.max(1));
@@ -243,25 +261,26 @@
         } else {
             0
         };
-        // A new version needs one replica before the old ones may go.
+        // The new version needs a replica before those of the old version can be retired.
         let ledger = view.state.ledger();
         let rolling = ledger.replicas_of(model).any(|(_, replica)| {
             replica.version != version && replica.phase == ReplicaPhase::Loaded
         });
-        let for_base = usize::from(adapters_wait(now, view, model));
-        least
+        let for_base = usize::from(has_waiting_adapters(now, view, model));
+        minimum
             .max(for_demand)
             .max(usize::from(rolling))
             .max(for_base)
     }
 
-    // At the limit of replicas, a roll needs an old one to go first when there are several.
-    fn explain_limit(
+    // Records why a model at its replica limit gets no further load. If no replica has the new
+    // version yet, it retires one of the old version first, so that the roll can proceed.
+    fn handle_replica_limit(
         &mut self,
         view: &PlacementView<'_>,
         model: &ModelId,
         version: &str,
-        budget: &mut Budget,
+        budget: &mut PlanBudget,
         fence: Fence,
     ) {
         let ledger = view.state.ledger();
@@ -273,8 +292,8 @@
             budget.steps.push(PlanStep::Retire { replica, fence });
             self.reasons.insert(
                 model.clone(),
-                "a replica of the old version makes room; set max_replicas above the replicas in \
-                 use to roll without a gap"
+                "a replica of the old version is unloaded first; set max_replicas above the replicas \
+                 in use to roll without a gap"
                     .to_owned(),
             );
             return;
@@ -294,14 +313,15 @@
         self.reasons.insert(model.clone(), reason);
     }
 
-    // Retires the idle replica whose return costs least on a server where that makes room.
+    // Retires the idle replica with the least memory, which is the cheapest to load again, on a
+    // server where that frees enough memory.
     fn make_room<F>(
         &mut self,
         now: Instant,
         view: &PlacementView<'_>,
         model: &ModelId,
         memory: Mebibytes,
-        budget: &mut Budget,
+        budget: &mut PlanBudget,
         fence_of: &F,
     ) where
         F: Fn(&str) -> Option<Fence>,
@@ -311,16 +331,16 @@
         let mut best: Option<(Mebibytes, ReplicaId, &Replica)> = None;
         for (server, record) in servers {
             let capacity = capacity_of(view, record);
-            // A retirement under way on the server may already make enough room.
-            let leaving: Mebibytes = ledger
+            // Replicas that are already being unloaded may free enough memory.
+            let retiring: Mebibytes = ledger
                 .replicas()
                 .filter(|(_, replica)| {
                     replica.server == *server && replica.phase == ReplicaPhase::Retiring
                 })
                 .map(|(_, replica)| replica.memory)
                 .sum();
-            let free = (capacity + leaving).saturating_sub(ledger.used_memory(server));
-            if leaving > 0 && free >= memory {
+            let free = (capacity + retiring).saturating_sub(ledger.used_memory(server));
+            if retiring > 0 && free >= memory {
                 let reason = "an idle replica is being unloaded to make room";
                 self.reasons.insert(model.clone(), reason.to_owned());
                 return;
@@ -330,7 +350,7 @@
                     && replica.phase == ReplicaPhase::Loaded
                     && free + replica.memory >= memory
                     && is_idle(now, view, replica, fence_of);
-                if fits && best.is_none_or(|(cost, _, _)| replica.memory < cost) {
+                if fits && best.is_none_or(|(size, _, _)| replica.memory < size) {
                     best = Some((replica.memory, id, replica));
                 }
             }
@@ -353,7 +373,7 @@
         &self,
         now: Instant,
         view: &PlacementView<'_>,
-        budget: &mut Budget,
+        budget: &mut PlanBudget,
         fence_of: &F,
     ) where
         F: Fn(&str) -> Option<Fence>,
@@ -368,20 +388,21 @@
             let Some(fence) = fence_of(&replica.model) else {
                 continue;
             };
-            let is_extra = is_beyond_limit(view, replica, budget);
+            let is_extra = exceeds_limit(view, replica, budget);
             if is_extra || is_superseded(view, replica) || is_surplus(now, view, replica) {
                 budget.steps.push(PlanStep::Retire { replica: id, fence });
             }
         }
     }
 
-    /// Returns whether a replica may be unloaded for another model's sake.
+    /// Returns whether a replica may be unloaded to make room for another model.
     pub fn may_reclaim(&self, now: Instant, view: &PlacementView<'_>, replica: &Replica) -> bool {
         replica.phase == ReplicaPhase::Loaded && is_idle(now, view, replica, &|_| Some(0))
     }
 }
 
-fn in_flight(view: &PlacementView<'_>) -> (usize, usize) {
+// Returns the numbers of model and adapter loads in flight, without abandoned ones.
+fn loads_in_flight(view: &PlacementView<'_>) -> (usize, usize) {
     let mut counts = (0, 0);
     for (id, replica) in view.state.ledger().replicas() {
         if replica.phase != ReplicaPhase::Decided || view.stuck.contains(&id) {
@@ -408,9 +429,9 @@
         .count()
 }
 
-fn adapters_wait(now: Instant, view: &PlacementView<'_>, base: &str) -> bool {
-    let wanted = view.demand.requested_models(now);
-    wanted.iter().any(|model| {
+fn has_waiting_adapters(now: Instant, view: &PlacementView<'_>, base: &str) -> bool {
+    let requested = view.demand.requested_models(now);
+    requested.iter().any(|model| {
         model
             .split_once(':')
             .is_some_and(|(adapter_base, _)| adapter_base == base)
@@ -418,7 +439,7 @@
 }
 
 fn is_usable(view: &PlacementView<'_>, server: &str) -> bool {
-    view.servers.get(server).is_some_and(|seen| seen.usable)
+    view.servers.get(server).is_some_and(|server| server.usable)
 }
 
 fn capacity_of(view: &PlacementView<'_>, server: &Server) -> Mebibytes {
@@ -439,25 +460,25 @@
     let ledger = view.state.ledger();
     let servers = ledger.servers();
     let fits = |(id, server): &(&ServerId, &Server)| {
-        let holds = |name: &str, loaded: bool| {
+        let has_replica = |name: &str, loaded: bool| {
             ledger.replicas_of(name).any(|(_, replica)| {
                 replica.server == **id && (!loaded || replica.phase == ReplicaPhase::Loaded)
             })
         };
         Some(server.pool.as_str()) == pool
             && is_usable(view, id)
-            && !holds(model, false)
-            && (base == model || holds(base, true))
+            && !has_replica(model, false)
+            && (base == model || has_replica(base, true))
     };
     servers.filter(fits).collect()
 }
 
-// Cached weights first, then another zone than the model's other replicas, then most free memory.
+// Prefers cached weights, then a zone without replicas of the model, then the most free memory.
 fn choose_server(
     view: &PlacementView<'_>,
     model: &ModelId,
     memory: Mebibytes,
-    taken: &BTreeMap<ServerId, Mebibytes>,
+    reserved: &BTreeMap<ServerId, Mebibytes>,
 ) -> Option<ServerId> {
     let ledger = view.state.ledger();
     let zones: Set<_> = ledger
@@ -468,12 +489,12 @@
     let servers = eligible_servers(view, model).into_iter();
     servers
         .filter_map(|(id, server)| {
-            let used = ledger.used_memory(id) + taken.get(id).copied().unwrap_or(0);
+            let used = ledger.used_memory(id) + reserved.get(id).copied().unwrap_or(0);
             let free = capacity_of(view, server).checked_sub(used)?;
             let cached = view
                 .servers
                 .get(id)
-                .is_some_and(|seen| seen.cached.contains(model));
+                .is_some_and(|server| server.cached.contains(model));
             let new_zone = !zones.contains(&server.zone);
             (free >= memory).then_some(((cached, new_zone, free), id))
         })
@@ -490,16 +511,16 @@
         return false;
     }
     let settings = view.state.model(&replica.model);
-    let least = settings.map_or(0, |settings| settings.min_replicas as usize);
-    if count_present(view, &replica.model, &replica.version) <= least {
+    let minimum = settings.map_or(0, |settings| settings.min_replicas as usize);
+    if count_present(view, &replica.model, &replica.version) <= minimum {
         return false;
     }
     if fence_of(&replica.model).is_none() {
-        // The other model's holder knows its use and decides.
+        // Only the lease holder of that model knows its usage, so it makes the final decision.
         return true;
     }
     let last = view.demand.last_use(&replica.model);
-    last.is_none_or(|last| now >= last + MIN_IDLE)
+    last.is_none_or(|last| now >= last + MIN_IDLE_TIME)
 }
 
 fn has_adapters(view: &PlacementView<'_>, base: &Replica) -> bool {
@@ -515,24 +536,25 @@
     })
 }
 
-// A load that came about after it had been given up leaves one replica too many.
-fn is_beyond_limit(view: &PlacementView<'_>, replica: &Replica, budget: &Budget) -> bool {
+// A load that takes effect after it was abandoned can exceed the limit of replicas.
+fn exceeds_limit(view: &PlacementView<'_>, replica: &Replica, budget: &PlanBudget) -> bool {
     let Some((_, _, max_replicas)) = view.state.load_spec(&replica.model) else {
         return false;
     };
     let ledger = view.state.ledger();
-    let goes = |id: ReplicaId| {
+    let is_retired = |id: ReplicaId| {
         let retires =
             |step: &PlanStep| matches!(step, PlanStep::Retire { replica, .. } if *replica == id);
         budget.steps.iter().any(retires)
     };
     let loaded = ledger
         .replicas_of(&replica.model)
-        .filter(|(id, other)| other.phase == ReplicaPhase::Loaded && !goes(*id));
+        .filter(|(id, other)| other.phase == ReplicaPhase::Loaded && !is_retired(*id));
     loaded.count() > max_replicas as usize
 }
 
-// An old version goes once the new one is loaded, or at once when the model is gone.
+// A replica of an old version is unloaded once the new version is loaded, and every replica of a
+// model that is no longer configured is unloaded at once.
 fn is_superseded(view: &PlacementView<'_>, replica: &Replica) -> bool {
     let Some((version, _, _)) = view.state.load_spec(&replica.model) else {
         return true;
@@ -544,30 +566,30 @@
     replicas.any(|(_, other)| other.version == version && other.phase == ReplicaPhase::Loaded)
 }
 
-// Beyond the least number of replicas, one that has been idle for long enough goes. A model whose
-// next use is expected soon by its usual pause stays.
+// A replica above the minimum number is unloaded after `keep_warm_s` without use. If the mean gap
+// between uses suggests that the next one comes soon, it is kept for 1.25 times that gap if longer.
 fn is_surplus(now: Instant, view: &PlacementView<'_>, replica: &Replica) -> bool {
     let base = replica.model.split(':').next().unwrap_or(&replica.model);
     let Some(settings) = view.state.model(base) else {
         return true;
     };
-    let least = if base == &*replica.model {
+    let minimum = if base == &*replica.model {
         settings.min_replicas as usize
     } else {
         0
     };
-    if count_present(view, &replica.model, &replica.version) <= least {
+    if count_present(view, &replica.model, &replica.version) <= minimum {
         return false;
     }
     let busy = view.demand.waiting(now, &replica.model) + view.demand.running(now, &replica.model);
     let Some(last) = view.demand.last_use(&replica.model) else {
         return false;
     };
-    let keep = Duration::from_secs(u64::from(settings.keep_warm_s));
-    let usual = view.demand.mean_gap(&replica.model);
-    let keep = match usual {
-        Some(gap) if gap <= keep * GAP_MULTIPLE => keep.max(gap + gap / 4),
-        _ => keep,
+    let keep_warm = Duration::from_secs(u64::from(settings.keep_warm_s));
+    let typical_gap = view.demand.mean_gap(&replica.model);
+    let keep_warm = match typical_gap {
+        Some(gap) if gap <= keep_warm * MAX_GAP_FACTOR => keep_warm.max(gap + gap / 4),
+        _ => keep_warm,
     };
-    busy == 0 && now >= last + keep
+    busy == 0 && now >= last + keep_warm
 }
--- a/crates/apricotwell_retry/src/lib.rs
+++ b/crates/apricotwell_retry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Retry budgets and backoff.
+//! Retry budgets and exponential backoff with jitter.
 //!
 //! # Examples
 //!
@@ -15,48 +15,49 @@
 
 use std::time::Duration;
 
-/// What nearly every user of the crate needs.
+/// Re-exports of the commonly used items.
 pub mod prelude {
     pub use crate::{RetryBudget, backoff};
 }
 
-/// Retries allowed per request, in hundredths.
+/// Deposit of a first attempt, in hundredths of a retry.
 const DEPOSIT_HUNDREDTHS: u32 = 10;
-/// Retries that can be saved up, in hundredths.
+/// Largest balance, in hundredths of a retry.
 const MAX_HUNDREDTHS: u32 = 1000;
-/// Cost of one retry, in hundredths.
+/// Price of a retry, in hundredths of a retry.
 const RETRY_HUNDREDTHS: u32 = 100;
 
-/// Budget of one organisation on one route: one retry for ten requests.
+/// Budget of one organisation on one route: one retry for every ten requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryBudget {
-    // At most `MAX_HUNDREDTHS`.
-    saved: u32,
+    // In hundredths of a retry; at most `MAX_HUNDREDTHS`.
+    balance: u32,
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Adds the deposit of a first attempt to the budget.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + DEPOSIT_HUNDREDTHS).min(MAX_HUNDREDTHS);
+        self.balance = (self.balance + DEPOSIT_HUNDREDTHS).min(MAX_HUNDREDTHS);
     }
 
-    /// Takes one retry, if the budget has it.
+    /// Withdraws one retry and returns whether the balance was sufficient.
     pub fn try_withdraw(&mut self) -> bool {
-        let Some(left) = self.saved.checked_sub(RETRY_HUNDREDTHS) else {
+        let Some(left) = self.balance.checked_sub(RETRY_HUNDREDTHS) else {
             return false;
         };
-        self.saved = left;
+        self.balance = left;
         true
     }
 }
 
-/// Returns the pause before retry `attempt` (from 1), between half and all of an exponential step.
+/// Returns the delay before retry `attempt` (from 1), between half and all of an exponential step.
 ///
-/// `random` is any evenly spread number.
+/// The step starts at `first`, doubles with each attempt and is limited to `longest`. `random` is a
+/// uniformly distributed number that determines the jitter.
 pub fn backoff(attempt: u32, first: Duration, longest: Duration, random: u64) -> Duration {
     let step = first.saturating_mul(1 << attempt.saturating_sub(1).min(16));
     let step = step.min(longest);
-    let spread = step / 2;
-    let part = (random % 1024) as u32;
-    step - spread + spread * part / 1024
+    let jitter = step / 2;
+    let fraction = (random % 1024) as u32;
+    step - jitter + jitter * fraction / 1024
 }
--- a/crates/apricotwell_routing/src/health.rs
+++ b/crates/apricotwell_routing/src/health.rs
@@ -1,43 +1,46 @@
-//! Ejection of servers that fail.
+//! Temporary ejection of servers that fail.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row that eject a server.
+/// Number of consecutive failures after which a server is ejected.
 const MAX_FAILURES: u32 = 3;
-/// First ejection.
-const FIRST_EJECTION: Duration = Duration::from_secs(2);
-/// Longest ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(60);
+/// Duration of the first ejection; doubles with each further one until a request succeeds.
+const INITIAL_EJECTION: Duration = Duration::from_secs(2);
+/// Largest duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(60);
 
-/// Health of one server as seen by this instance.
+/// Health of a server as this instance sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerHealth {
+    // Consecutive failures since the last success or ejection.
     failures: u32,
+    // Ejections since the last success.
     ejections: u32,
-    until: Option<Instant>,
+    ejected_until: Option<Instant>,
 }
 
 impl ServerHealth {
-    /// Notes a request that the server answered.
+    /// Records a request that succeeded on the server.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.ejections = 0;
     }
 
-    /// Notes a request that the server failed.
+    /// Records a request that failed on the server.
     pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures < MAX_FAILURES {
             return;
         }
-        let pause = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(10));
-        self.until = Some(now + pause.min(LONGEST_EJECTION));
+        let ejection = INITIAL_EJECTION.saturating_mul(1 << self.ejections.min(10));
+        self.ejected_until = Some(now + ejection.min(MAX_EJECTION));
         self.ejections += 1;
         self.failures = 0;
     }
 
-    /// Returns whether the server is to be avoided.
+    /// Returns whether the server should be avoided.
     pub fn is_ejected(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.ejected_until
+            .is_some_and(|ejected_until| now < ejected_until)
     }
 }
--- a/crates/apricotwell_routing/src/lib.rs
+++ b/crates/apricotwell_routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Choice of the backend server for a request.
+//! Selection of the backend server for a request.
 //!
-//! The score of a server is its estimated load, corrected by this instance's own requests in
-//! flight, with costs for another zone and for a cold prefix cache, and a ramp for new replicas.
-//! The choice is argued in `docs/design/routing.md`.
+//! The server with the lowest score is selected. The score is the estimated load, which includes
+//! this instance's own requests in flight, with penalties for another zone and for a new replica
+//! and a bonus for a cached prefix. See `docs/design/routing.md` for the reasons.
 //!
 //! # Examples
 //!
@@ -27,7 +27,7 @@
 pub use prefix::{PrefixKey, PrefixMap, prefix_key};
 pub use router::{Candidate, LoadReport, Router};
 
-/// What nearly every user of the crate needs.
+/// Re-exports of the commonly used items.
 pub mod prelude {
     pub use crate::{Candidate, LoadReport, PrefixKey, Router, prefix_key};
 }
--- a/crates/apricotwell_routing/src/router.rs
+++ b/crates/apricotwell_routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The choice itself.
+//! The router.
 
 use std::time::{Duration, Instant};
 
@@ -7,60 +7,61 @@
 use crate::health::ServerHealth;
 use crate::prefix::{PrefixKey, PrefixMap};
 
-/// Cost of another zone, as a share of a full server.
-const ZONE_COST: f64 = 0.15;
-/// Gain of a cached prefix, as a share of a full server.
-const PREFIX_GAIN: f64 = 0.30;
-/// Time in which a new replica comes up to its full share.
-const RAMP: Duration = Duration::from_secs(5);
-/// Cost of a replica that has just become ready, as a share of a full server.
-const RAMP_COST: f64 = 0.5;
-/// Prefixes remembered.
+/// Score penalty of another zone; a fully loaded server has a score of 1.
+const ZONE_PENALTY: f64 = 0.15;
+/// Score bonus of a cached prefix; a fully loaded server has a score of 1.
+const PREFIX_BONUS: f64 = 0.30;
+/// Time over which the penalty of a new replica falls to 0.
+const RAMP_TIME: Duration = Duration::from_secs(5);
+/// Score penalty of a replica that has just become ready; a fully loaded server has a score of 1.
+const RAMP_PENALTY: f64 = 0.5;
+/// Largest number of prefixes kept.
 const MAX_PREFIXES: usize = 8192;
-/// Age beyond which a load report says nothing.
+/// Age beyond which a load report is ignored.
 const REPORT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// Server that could run a request.
+/// Server that can run a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Its zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// When its replica became ready.
     pub ready_at: Instant,
 }
 
-/// Load as a server reported it.
+/// Load that a server reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running and waiting on the server.
+    /// Number of requests running and waiting on the server.
     pub requests: u32,
     /// When the server measured it, by this instance's clock.
     pub measured_at: Instant,
 }
 
 #[derive(Debug, Default)]
-struct ServerView {
-    own: u32,
-    // Own requests in flight when the report was measured.
+struct ServerState {
+    // This instance's requests in flight on the server.
+    own_requests: u32,
+    // The same number when the last report was received, which is assumed to include them.
     own_at_report: u32,
     report: Option<LoadReport>,
     health: ServerHealth,
 }
 
-/// Chooses servers by load, zone, prefix and health.
+/// Selects servers by load, zone, prefix and health.
 #[derive(Debug)]
 pub struct Router {
     zone: ZoneId,
-    servers: Map<ServerId, ServerView>,
+    servers: Map<ServerId, ServerState>,
     prefixes: PrefixMap,
 }
 
 impl Router {
-    /// Returns a router of an instance in `zone`.
+    /// Creates a router for an instance in `zone`.
     pub fn new(zone: ZoneId) -> Self {
         Self {
             zone,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Returns the best server with a free slot.
+    /// Returns the server with the lowest score among those with a free slot, if any.
     pub fn select_server(
         &self,
         now: Instant,
@@ -80,7 +81,8 @@
             .iter()
             .filter(|candidate| self.is_ejected(now, &candidate.server))
             .count();
-        // With half of the servers ejected the fault is likely elsewhere: use them all.
+        // If more than half of the servers are ejected, the fault is likely elsewhere, and all of them
+        // are used.
         let ignore_health = ejected * 2 > candidates.len() || ejected == candidates.len();
         let cached = prefix.and_then(|prefix| self.prefixes.get(prefix));
         let mut best: Option<(f64, &Candidate)> = None;
@@ -93,77 +95,79 @@
                 continue;
             }
             let score = self.score(now, candidate, load, cached);
-            if best.is_none_or(|(least, _)| score < least) {
+            if best.is_none_or(|(best_score, _)| score < best_score) {
                 best = Some((score, candidate));
             }
         }
         best.map(|(_, candidate)| candidate.server.clone())
     }
 
-    /// Returns the estimated number of requests on a server.
+    /// Returns the estimated number of requests running and waiting on a server.
     pub fn estimated_load(&self, now: Instant, server: &str) -> f64 {
-        let Some(view) = self.servers.get(server) else {
+        let Some(state) = self.servers.get(server) else {
             return 0.0;
         };
-        let own = f64::from(view.own);
-        let Some(report) = view.report else {
-            return own;
+        let own_requests = f64::from(state.own_requests);
+        let Some(report) = state.report else {
+            return own_requests;
         };
         if now.saturating_duration_since(report.measured_at) > REPORT_LIFETIME {
-            return own;
+            return own_requests;
         }
-        let others = report.requests.saturating_sub(view.own_at_report);
-        own + f64::from(others)
+        let others = report.requests.saturating_sub(state.own_at_report);
+        own_requests + f64::from(others)
     }
 
-    /// Notes a request given to a server.
+    /// Records a request that is dispatched to a server.
     pub fn begin_request(&mut self, server: &ServerId, prefix: Option<PrefixKey>) {
-        self.servers.entry(server.clone()).or_default().own += 1;
+        self.servers.entry(server.clone()).or_default().own_requests += 1;
         if let Some(prefix) = prefix {
             self.prefixes.insert(prefix, server.clone());
         }
     }
 
-    /// Notes the end of a request on a server.
-    pub fn end_request(&mut self, now: Instant, server: &str, answered: bool) {
-        let Some(view) = self.servers.get_mut(server) else {
+    /// Records the end of a request; `healthy` is false if the server caused its failure.
+    pub fn end_request(&mut self, now: Instant, server: &str, healthy: bool) {
+        let Some(state) = self.servers.get_mut(server) else {
             return;
         };
-        view.own = view.own.saturating_sub(1);
-        if answered {
-            view.health.record_success();
+        state.own_requests = state.own_requests.saturating_sub(1);
+        if healthy {
+            state.health.record_success();
         } else {
-            view.health.record_failure(now);
+            state.health.record_failure(now);
         }
     }
 
-    /// Takes back a start: the request was not given to the server after all.
+    /// Reverts [`begin_request`](Self::begin_request) for a request that was not dispatched after all.
     pub fn cancel_request(&mut self, server: &str) {
-        if let Some(view) = self.servers.get_mut(server) {
-            view.own = view.own.saturating_sub(1);
+        if let Some(state) = self.servers.get_mut(server) {
+            state.own_requests = state.own_requests.saturating_sub(1);
         }
     }
 
-    /// Notes a load report.
+    /// Records a load report.
     pub fn record_report(&mut self, server: &ServerId, report: LoadReport) {
-        let view = self.servers.entry(server.clone()).or_default();
-        view.own_at_report = view.own;
-        view.report = Some(report);
+        let state = self.servers.entry(server.clone()).or_default();
+        state.own_at_report = state.own_requests;
+        state.report = Some(report);
     }
 
-    /// Forgets a server's caches, after a gap in its events or its restart.
+    /// Removes the cached prefixes of a server, after it restarted or some of its events were missed.
     pub fn remove_prefixes(&mut self, server: &str) {
         self.prefixes.remove_server(server);
     }
 
-    /// Returns this instance's requests in flight on a server.
+    /// Returns the number of this instance's requests in flight on a server.
     pub fn own_requests(&self, server: &str) -> u32 {
-        self.servers.get(server).map_or(0, |view| view.own)
+        self.servers
+            .get(server)
+            .map_or(0, |state| state.own_requests)
     }
 
     fn is_ejected(&self, now: Instant, server: &str) -> bool {
-        let view = self.servers.get(server);
-        view.is_some_and(|view| view.health.is_ejected(now))
+        let state = self.servers.get(server);
+        state.is_some_and(|state| state.health.is_ejected(now))
     }
 
     fn score(
@@ -175,14 +179,14 @@
     ) -> f64 {
         let mut score = load / f64::from(candidate.slots.max(1));
         if candidate.zone != self.zone {
-            score += ZONE_COST;
+            score += ZONE_PENALTY;
         }
         if cached == Some(&candidate.server) {
-            score -= PREFIX_GAIN;
+            score -= PREFIX_BONUS;
         }
         let age = now.saturating_duration_since(candidate.ready_at);
-        if age < RAMP && load > 0.0 {
-            score += RAMP_COST * (1.0 - age.as_secs_f64() / RAMP.as_secs_f64());
+        if age < RAMP_TIME && load > 0.0 {
+            score += RAMP_PENALTY * (1.0 - age.as_secs_f64() / RAMP_TIME.as_secs_f64());
         }
         score
     }
