--- a/crates/apricotwell_claims/src/table.rs
+++ b/crates/apricotwell_claims/src/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use apricotwell_records::{ClaimBody, ClaimRecord, Claimed, Finished};
+use apricotwell_records::{AttemptFinished, ClaimBody, ClaimRecord, KeyClaimed};
 use apricotwell_types::{BodyDigest, Fence, Offset, RunOutcome};
 
 /// Answer recorded for an attempt, to be replayed to retries of the same request.
@@ -63,7 +63,7 @@
 }
 
 impl ClaimTable {
-    /// Returns the highest fence for which an `Opened` record was applied.
+    /// Returns the highest fence for which a `StreamOpened` record was applied.
     pub fn fence(&self) -> Fence {
         self.fence
     }
@@ -95,14 +95,14 @@
             return false;
         }
         match &record.body {
-            Some(ClaimBody::Opened(_)) => {
+            Some(ClaimBody::StreamOpened(_)) => {
                 self.fence = record.fence;
                 true
             }
-            Some(ClaimBody::Claimed(claimed)) => {
+            Some(ClaimBody::KeyClaimed(claimed)) => {
                 self.apply_claimed(offset, record.written_ms, claimed)
             }
-            Some(ClaimBody::Finished(finished)) => self.apply_finished(finished),
+            Some(ClaimBody::AttemptFinished(finished)) => self.apply_finished(finished),
             None => false,
         }
     }
@@ -149,7 +149,7 @@
             .iter()
             .filter(|(_, claim)| claim.offset < offset);
         let records = |(key, claim): (&BodyDigest, &Claim)| {
-            let claimed = Claimed {
+            let claimed = KeyClaimed {
                 key: key.0.to_vec(),
                 body: claim.body.0.to_vec(),
                 attempt: claim.attempt.clone(),
@@ -158,9 +158,9 @@
                 .outcome
                 .as_ref()
                 .map(|outcome| finished_record(*key, &claim.attempt, outcome));
-            let claim_record = self.record(claim.written, ClaimBody::Claimed(claimed));
-            let outcome_record =
-                finished.map(|finished| self.record(claim.written, ClaimBody::Finished(finished)));
+            let claim_record = self.record(claim.written, ClaimBody::KeyClaimed(claimed));
+            let outcome_record = finished
+                .map(|finished| self.record(claim.written, ClaimBody::AttemptFinished(finished)));
             [Some(claim_record), outcome_record].into_iter().flatten()
         };
         old_claims.take(limit).flat_map(records).collect()
@@ -174,7 +174,7 @@
         }
     }
 
-    fn apply_claimed(&mut self, offset: Offset, written: u64, claimed: &Claimed) -> bool {
+    fn apply_claimed(&mut self, offset: Offset, written: u64, claimed: &KeyClaimed) -> bool {
         let key = BodyDigest::from_slice(&claimed.key);
         let body = BodyDigest::from_slice(&claimed.body);
         let (Some(key), Some(body)) = (key, body) else {
@@ -198,7 +198,7 @@
         true
     }
 
-    fn apply_finished(&mut self, finished: &Finished) -> bool {
+    fn apply_finished(&mut self, finished: &AttemptFinished) -> bool {
         let Some(key) = BodyDigest::from_slice(&finished.key) else {
             return false;
         };
@@ -225,11 +225,11 @@
     }
 }
 
-fn finished_record(key: BodyDigest, attempt: &str, outcome: &ClaimOutcome) -> Finished {
-    let mut finished = Finished {
+fn finished_record(key: BodyDigest, attempt: &str, outcome: &ClaimOutcome) -> AttemptFinished {
+    let mut finished = AttemptFinished {
         key: key.0.to_vec(),
         attempt: attempt.to_owned(),
-        ..Finished::default()
+        ..AttemptFinished::default()
     };
     match outcome {
         ClaimOutcome::NoAnswer(ending) => finished.outcome = ending.as_str().to_owned(),
@@ -245,7 +245,7 @@
 
 impl ClaimOutcome {
     /// Returns the record that reports this outcome of `attempt`.
-    pub fn to_record(&self, key: BodyDigest, attempt: &str) -> Finished {
+    pub fn to_record(&self, key: BodyDigest, attempt: &str) -> AttemptFinished {
         finished_record(key, attempt, self)
     }
 }
--- a/crates/apricotwell_claims/tests/table.rs
+++ b/crates/apricotwell_claims/tests/table.rs
@@ -1,27 +1,30 @@
 //! Effects of claim records on the table.
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
-use apricotwell_records::{ClaimBody, ClaimRecord, Claimed, Finished, Opened};
+use apricotwell_records::{AttemptFinished, ClaimBody, ClaimRecord, KeyClaimed, StreamOpened};
 use apricotwell_types::RunOutcome;
 
 const KEY: BodyDigest = BodyDigest([1; 16]);
 const BODY: BodyDigest = BodyDigest([2; 16]);
 
 fn opened(fence: u64) -> ClaimRecord {
-    record(fence, ClaimBody::Opened(Opened {}))
+    record(fence, ClaimBody::StreamOpened(StreamOpened {}))
 }
 
 fn claimed(fence: u64, attempt: &str) -> ClaimRecord {
-    let claimed = Claimed {
+    let claimed = KeyClaimed {
         key: KEY.0.to_vec(),
         body: BODY.0.to_vec(),
         attempt: attempt.to_owned(),
     };
-    record(fence, ClaimBody::Claimed(claimed))
+    record(fence, ClaimBody::KeyClaimed(claimed))
 }
 
 fn finished(fence: u64, attempt: &str, outcome: &ClaimOutcome) -> ClaimRecord {
-    record(fence, ClaimBody::Finished(outcome.to_record(KEY, attempt)))
+    record(
+        fence,
+        ClaimBody::AttemptFinished(outcome.to_record(KEY, attempt)),
+    )
 }
 
 fn record(fence: u64, body: ClaimBody) -> ClaimRecord {
@@ -113,12 +116,12 @@
 
 #[test]
 fn malformed_records_have_no_effect() {
-    let short_digests = ClaimBody::Claimed(Claimed {
+    let short_digests = ClaimBody::KeyClaimed(KeyClaimed {
         key: vec![1],
         body: vec![2],
         attempt: "a".to_owned(),
     });
-    let empty_outcome = ClaimBody::Finished(Finished::default());
+    let empty_outcome = ClaimBody::AttemptFinished(AttemptFinished::default());
     let table = apply_all(&[
         opened(1),
         record(1, short_digests),
--- a/crates/apricotwell_fakes/examples/slopes.rs
+++ b/crates/apricotwell_fakes/examples/slopes.rs
@@ -11,7 +11,7 @@
 use apricotwell_limits::{Bucket, Escrow, Rate};
 use apricotwell_placement::{DemandTable, ModelUsage, PlacementPlanner, PlacementView, ServerView};
 use apricotwell_records::{
-    AcquireLeases, Body, ClaimBody, ClaimRecord, Claimed, DecideLoad, OperatorKey, PutConfig,
+    AcquireLeases, Body, ClaimBody, ClaimRecord, DecideLoad, KeyClaimed, OperatorKey, PutConfig,
     Record, ServerUp, SettleOutcome, SettleReplica,
 };
 use apricotwell_routing::{Candidate, Router};
@@ -406,7 +406,7 @@
             key
         };
         each(&format!("claim applied up to {claims}"), claims, |index| {
-            let claimed = Claimed {
+            let claimed = KeyClaimed {
                 key: key(index).to_vec(),
                 body: vec![1; 16],
                 attempt: "entry-1/1796337954803960/123456/1".to_owned(),
@@ -414,7 +414,7 @@
             let record = ClaimRecord {
                 fence: 1,
                 written_ms: 1,
-                body: Some(ClaimBody::Claimed(claimed)),
+                body: Some(ClaimBody::KeyClaimed(claimed)),
             };
             bytes += record.to_bytes().len();
             table.apply(u64::from(index) + 1, &record);
--- a/crates/apricotwell_messages/src/claims.rs
+++ b/crates/apricotwell_messages/src/claims.rs
@@ -1,6 +1,6 @@
 //! Messages about idempotency keys.
 
-use apricotwell_records::Finished;
+use apricotwell_records::AttemptFinished;
 
 /// Requests an idempotency key from a claim shard's lease holder.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -47,7 +47,7 @@
     pub verdict: i32,
     /// Outcome of the attempt that finished with the key.
     #[prost(message, optional, tag = "3")]
-    pub finished: Option<Finished>,
+    pub finished: Option<AttemptFinished>,
 }
 
 /// Reports the outcome of a claimed attempt.
@@ -55,7 +55,7 @@
 pub struct ClaimFinish {
     /// Outcome.
     #[prost(message, optional, tag = "1")]
-    pub finished: Option<Finished>,
+    pub finished: Option<AttemptFinished>,
 }
 
 /// Confirms that the outcome of an attempt is recorded.
--- a/crates/apricotwell_messages/src/lib.rs
+++ b/crates/apricotwell_messages/src/lib.rs
@@ -8,7 +8,8 @@
 //! ```
 //! use apricotwell_messages::prelude::*;
 //!
-//! let envelope = Envelope { body: Some(Message::Ping(Ping { number: 3 })), ..Envelope::default() };
+//! let envelope =
+//!     Envelope { body: Some(Message::Ping(Ping { number: 3 })), ..Envelope::default() };
 //! let bytes = envelope.to_bytes();
 //! assert_eq!(Envelope::from_bytes(&bytes).unwrap(), envelope);
 //! ```
--- a/crates/apricotwell_node/src/claim_client.rs
+++ b/crates/apricotwell_node/src/claim_client.rs
@@ -5,7 +5,7 @@
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, RecordedAnswer};
 use apricotwell_messages::{ClaimFinish, ClaimReply, ClaimRequest, ClaimVerdict, Message};
-use apricotwell_records::Finished;
+use apricotwell_records::AttemptFinished;
 use apricotwell_types::{RequestId, RunOutcome, Shard};
 
 /// Delay before an unanswered message is sent again.
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 struct UnrecordedOutcome {
     shard: Shard,
-    finished: Finished,
+    finished: AttemptFinished,
     sent: Option<Instant>,
 }
 
@@ -162,7 +162,7 @@
     }
 }
 
-fn recorded_result(finished: &Finished) -> ClaimResult {
+fn recorded_result(finished: &AttemptFinished) -> ClaimResult {
     match RunOutcome::from_name(&finished.outcome) {
         Some(ending) => ClaimResult::Ended(ending),
         None => ClaimResult::Answered(RecordedAnswer {
--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -8,8 +8,8 @@
     ClaimFinish, ClaimFinishAck, ClaimReply, ClaimRequest, ClaimVerdict, Message,
 };
 use apricotwell_records::{
-    AppendError, ClaimBody, ClaimRecord, Claimed, Finished, LogBatch, Opened, ReadError,
-    claim_stream,
+    AppendError, AttemptFinished, ClaimBody, ClaimRecord, KeyClaimed, LogBatch, ReadError,
+    StreamOpened, claim_stream,
 };
 use apricotwell_types::{Fence, InstanceId, Offset, RunOutcome, Shard};
 
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct PendingOutcome {
     from: InstanceId,
-    finished: Finished,
+    finished: AttemptFinished,
 }
 
 #[derive(Debug)]
@@ -401,16 +401,16 @@
                 return Vec::new();
             }
             self.opening = true;
-            return vec![ClaimBody::Opened(Opened {})];
+            return vec![ClaimBody::StreamOpened(StreamOpened {})];
         }
         let outcomes = self.outcomes.iter().take(MAX_GROUP);
         let mut bodies: Vec<ClaimBody> = outcomes
-            .map(|outcome| ClaimBody::Finished(outcome.finished.clone()))
+            .map(|outcome| ClaimBody::AttemptFinished(outcome.finished.clone()))
             .collect();
         let table = &self.table;
         let is_free = |waiting: &&PendingClaim| is_free(table, &waiting.claim);
         for waiting in self.pending.iter().filter(is_free).take(MAX_GROUP) {
-            bodies.push(ClaimBody::Claimed(Claimed {
+            bodies.push(ClaimBody::KeyClaimed(KeyClaimed {
                 key: waiting.claim.key.clone(),
                 body: waiting.claim.body.clone(),
                 attempt: waiting.claim.attempt.clone(),
@@ -461,7 +461,7 @@
     outcomes: &mut Vec<PendingOutcome>,
     claim: &ClaimRequest,
     has_ended: &F,
-) -> Option<(ClaimVerdict, Option<Finished>)>
+) -> Option<(ClaimVerdict, Option<AttemptFinished>)>
 where
     F: Fn(&str) -> bool,
 {
@@ -498,7 +498,7 @@
 
 // An outcome is recorded once its claim has an outcome, or no longer exists because the attempt
 // did not run.
-fn is_recorded(table: &ClaimTable, finished: &Finished) -> bool {
+fn is_recorded(table: &ClaimTable, finished: &AttemptFinished) -> bool {
     let Some(key) = BodyDigest::from_slice(&finished.key) else {
         return true;
     };
@@ -516,8 +516,8 @@
 
 fn claimed_attempts(bodies: &[ClaimBody]) -> Vec<String> {
     let attempt = |body: &ClaimBody| match body {
-        ClaimBody::Claimed(claimed) => Some(claimed.attempt.clone()),
-        ClaimBody::Opened(_) | ClaimBody::Finished(_) => None,
+        ClaimBody::KeyClaimed(claimed) => Some(claimed.attempt.clone()),
+        ClaimBody::StreamOpened(_) | ClaimBody::AttemptFinished(_) => None,
     };
     bodies.iter().filter_map(attempt).collect()
 }
@@ -534,7 +534,7 @@
     to: InstanceId,
     attempt: &str,
     verdict: ClaimVerdict,
-    finished: Option<Finished>,
+    finished: Option<AttemptFinished>,
 ) -> Reply {
     let reply = ClaimReply {
         attempt: attempt.to_owned(),
--- a/crates/apricotwell_records/src/claim.rs
+++ b/crates/apricotwell_records/src/claim.rs
@@ -33,22 +33,22 @@
 pub enum ClaimBody {
     /// Starts a holder's lease; voids later records with lower fencing tokens.
     #[prost(message, tag = "10")]
-    Opened(Opened),
+    StreamOpened(StreamOpened),
     /// Reserves an idempotency key for one attempt.
     #[prost(message, tag = "11")]
-    Claimed(Claimed),
+    KeyClaimed(KeyClaimed),
     /// Records the outcome of an attempt.
     #[prost(message, tag = "12")]
-    Finished(Finished),
+    AttemptFinished(AttemptFinished),
 }
 
 /// Starts a holder's lease on a claim stream.
 #[derive(Clone, PartialEq, Message)]
-pub struct Opened {}
+pub struct StreamOpened {}
 
 /// Reserves an idempotency key for one attempt.
 #[derive(Clone, PartialEq, Message)]
-pub struct Claimed {
+pub struct KeyClaimed {
     /// Digest of the organisation and the idempotency key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
@@ -62,7 +62,7 @@
 
 /// Records the outcome of a claimed attempt.
 #[derive(Clone, PartialEq, Message)]
-pub struct Finished {
+pub struct AttemptFinished {
     /// Digest of the organisation and the idempotency key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
--- a/crates/apricotwell_records/src/lib.rs
+++ b/crates/apricotwell_records/src/lib.rs
@@ -9,8 +9,8 @@
 //! ```
 //! use apricotwell_records::prelude::*;
 //!
-//! let suspect = CrashSuspect { digest: vec![0; 16] };
-//! let record = Record::new("entry-1", 7, 1, Body::CrashSuspect(suspect));
+//! let record =
+//!     Record::new("entry-1", 7, 1, Body::CrashSuspect(CrashSuspect { digest: vec![0; 16] }));
 //! assert_eq!(Record::from_bytes(&record.to_bytes()).unwrap(), record);
 //! ```
 
@@ -19,7 +19,7 @@
 mod log;
 mod signature;
 
-pub use claim::{ClaimBody, ClaimRecord, Claimed, Finished, Opened};
+pub use claim::{AttemptFinished, ClaimBody, ClaimRecord, KeyClaimed, StreamOpened};
 pub use control::{
     AcquireLeases, Body, CheckpointChunk, CrashSuspect, DecideLoad, PutConfig, Record,
     RetireReplica, ServerGone, ServerUp, SettleOutcome, SettleReplica,
@@ -30,9 +30,9 @@
 /// Commonly used types.
 pub mod prelude {
     pub use crate::{
-        AcquireLeases, Body, CheckpointChunk, ClaimBody, ClaimRecord, Claimed, CrashSuspect,
-        DecideLoad, Finished, Opened, OperatorKey, PutConfig, Record, RetireReplica, ServerGone,
-        ServerUp, SettleOutcome, SettleReplica,
+        AcquireLeases, AttemptFinished, Body, CheckpointChunk, ClaimBody, ClaimRecord,
+        CrashSuspect, DecideLoad, KeyClaimed, OperatorKey, PutConfig, Record, RetireReplica,
+        ServerGone, ServerUp, SettleOutcome, SettleReplica, StreamOpened,
     };
 }
 
