--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -97,7 +97,7 @@
         self.freshness.view(now, &self.listed, &self.own_id)
     }
 
-    pub(crate) fn contact_age(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn view_age(&self, now: Instant) -> Option<Duration> {
         self.freshness.view_age(now)
     }
 
@@ -212,12 +212,12 @@
     // the local clock. Ages of relayed evidence count from that time, so that no evidence appears
     // newer than it is.
     fn apply_evidence(&mut self, number: u64, peer: &InstanceId, envelope: &Envelope) {
-        let Some(asked) = self.membership.ping_sent(number, peer) else {
+        let Some(requested_at) = self.membership.ping_sent(number, peer) else {
             return;
         };
         if let Some(evidence) = envelope.evidence {
             let evidence = Evidence {
-                requested_at: asked,
+                requested_at,
                 next: evidence.next,
                 view_age: evidence.contact_ms.map(Duration::from_millis),
                 log_contact_age: evidence.direct_ms.map(Duration::from_millis),
@@ -225,14 +225,16 @@
             self.freshness.record_evidence(peer.clone(), evidence);
         }
         for relayed in &envelope.heard {
-            let Some(asked) = asked.checked_sub(Duration::from_millis(relayed.age_ms)) else {
+            let Some(requested_at) =
+                requested_at.checked_sub(Duration::from_millis(relayed.age_ms))
+            else {
                 continue;
             };
             if *relayed.member == *self.own_id {
                 continue;
             }
             let evidence = Evidence {
-                requested_at: asked,
+                requested_at,
                 next: relayed.next,
                 view_age: relayed.contact_ms.map(Duration::from_millis),
                 log_contact_age: relayed.direct_ms.map(Duration::from_millis),
@@ -278,7 +280,7 @@
     }
 
     fn evidence(&self, now: Instant, next: Offset) -> LogEvidence {
-        let age = self.contact_age(now);
+        let age = self.view_age(now);
         LogEvidence {
             next,
             // Rounded up, so that the contact never appears more recent than it was.
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -331,7 +331,7 @@
             let state = format!("{:?}", member.news.state).to_lowercase();
             (member.news.contact.id.to_string(), state)
         };
-        let contact = self.fleet.contact_age(now);
+        let contact = self.fleet.view_age(now);
         InstanceStatus {
             id: self.settings.id.to_string(),
             incarnation: self.settings.incarnation,
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -26,20 +26,20 @@
 type CandidateCache = BTreeMap<ModelId, Vec<(Candidate, Option<ReplicaId>)>>;
 
 impl Node {
-    /// Returns the holder of an API key.
+    /// Returns the owner of an API key.
     ///
     /// # Errors
     ///
     /// Fails when the key is unknown or withdrawn, or when this instance can't verify keys.
     pub fn authenticate(&self, now: Instant, key: &KeyDigest) -> Result<KeyOwner, Refusal> {
         self.check_keys(now)?;
-        let holder = self.state.key_owner(key).ok_or_else(|| {
+        let owner = self.state.key_owner(key).ok_or_else(|| {
             Refusal::not_run(
                 RefusalKind::InvalidKey,
                 "the API key is unknown or withdrawn; ask your operator for a new one",
             )
         })?;
-        Ok(holder.clone())
+        Ok(owner.clone())
     }
 
     /// Returns the model or adapter that `name` denotes for an organisation.
