--- a/crates/apricotwell_entry/src/api/guard.rs
+++ b/crates/apricotwell_entry/src/api/guard.rs
@@ -9,7 +9,7 @@
 use apricotwell_state::KeyOwner;
 use apricotwell_types::{BodyDigest, KeyDigest, Refusal, RefusalKind, WorkClass};
 
-use crate::Shell;
+use crate::NodeDriver;
 
 /// Longest Idempotency-Key.
 const MAX_KEY_BYTES: usize = 256;
@@ -30,10 +30,10 @@
 }
 
 /// Returns the caller, checking the key anew on each request of a connection.
-pub(crate) fn authenticate(shell: &Shell, request: &HttpRequest) -> Result<Caller, Refusal> {
+pub(crate) fn authenticate(shell: &NodeDriver, request: &HttpRequest) -> Result<Caller, Refusal> {
     let secret = bearer(request).ok_or_else(|| {
         let message = "no API key: send it as `Authorization: Bearer KEY`";
-        Refusal::not_run(RefusalKind::InvalidKey, message)
+        Refusal::not_run(RefusalKind::InvalidApiKey, message)
     })?;
     // A key in the URL would reach logs and backend servers.
     if request
@@ -52,7 +52,7 @@
 
 /// Returns the body, within its limits of size and time and without the caller's key.
 pub(crate) async fn read_body(
-    shell: &Shell,
+    shell: &NodeDriver,
     request: &HttpRequest,
     payload: Payload,
 ) -> Result<Bytes, Refusal> {
@@ -69,7 +69,7 @@
         Ok(Err(_)) => return Err(too_large(callers.max_body_bytes)),
         Err(_) => {
             let message = "the body came too slowly: send it again";
-            return Err(Refusal::not_run(RefusalKind::TooSlow, message));
+            return Err(Refusal::not_run(RefusalKind::RequestTimeout, message));
         }
     };
     if let Some(secret) = bearer(request)
@@ -85,7 +85,7 @@
 
 /// Returns deadline, class and idempotency key from the headers.
 pub(crate) fn terms(
-    shell: &Shell,
+    shell: &NodeDriver,
     request: &HttpRequest,
     org: &str,
     class: WorkClass,
@@ -132,7 +132,7 @@
 
 fn too_large(most: usize) -> Refusal {
     let message = format!("the body is larger than {most} bytes: send a smaller one");
-    Refusal::not_run(RefusalKind::TooLarge, message)
+    Refusal::not_run(RefusalKind::RequestTooLarge, message)
 }
 
 pub(crate) fn bad(message: impl Into<String>) -> Refusal {
--- a/crates/apricotwell_entry/src/relay.rs
+++ b/crates/apricotwell_entry/src/relay.rs
@@ -12,9 +12,9 @@
 use tokio::time::timeout;
 
 use apricotwell_node::{AttemptOutcome, Dispatch, StoredAnswer};
-use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
+use apricotwell_types::{Refusal, RefusalKind, RequestId, RunOutcome, Tokens};
 
-use crate::Shell;
+use crate::NodeDriver;
 use crate::answer;
 use crate::shell::{Turn, Turns};
 use crate::streams::{AnswerStream, StreamContext};
@@ -51,7 +51,7 @@
 impl Clients {
     pub(crate) fn new() -> Self {
         Self {
-            repeatable: apricotwell_adapters::attempt_client(),
+            repeatable: apricotwell_adapters::pooled_client(),
             single_use: apricotwell_adapters::single_use_client(),
         }
     }
@@ -73,7 +73,7 @@
 
 // Drops the request from the node when its handler goes away.
 struct Pending {
-    shell: Arc<Shell>,
+    shell: Arc<NodeDriver>,
     request: RequestId,
     armed: bool,
 }
@@ -88,7 +88,7 @@
 
 /// Takes the turns of a request until it has an answer.
 pub(crate) async fn serve(
-    shell: Arc<Shell>,
+    shell: Arc<NodeDriver>,
     clients: &Clients,
     request: RequestId,
     mut turns: Turns,
@@ -127,11 +127,11 @@
     }
     let message = "the instance ends; look up another address";
     let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
-    answer::refuse(&refusal.with_ending(Ending::OutcomeUnknown))
+    answer::refuse(&refusal.with_outcome(RunOutcome::Unknown))
 }
 
 async fn attempt(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     clients: &Clients,
     dispatch: &Dispatch,
     outgoing: &Outgoing,
@@ -164,7 +164,7 @@
 }
 
 async fn send(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     clients: &Clients,
     dispatch: &Dispatch,
     outgoing: &Outgoing,
@@ -210,7 +210,7 @@
 
 fn check_status(response: &ClientResponse, pass_errors: bool) -> Result<(), AttemptOutcome> {
     let outcome = header(response.headers(), "x-outcome");
-    if outcome.as_deref() == Some(Ending::NotRun.as_str()) {
+    if outcome.as_deref() == Some(RunOutcome::NotRun.as_str()) {
         return Err(AttemptOutcome::NotRun { unreachable: true });
     }
     if response.status().is_server_error() && !pass_errors {
@@ -221,7 +221,7 @@
 
 // Holds an answer back until it is whole, so that a broken one can be tried again.
 async fn whole(
-    shell: &Arc<Shell>,
+    shell: &Arc<NodeDriver>,
     dispatch: &Dispatch,
     mut response: ClientResponse,
     media: String,
--- a/crates/apricotwell_entry/src/streams.rs
+++ b/crates/apricotwell_entry/src/streams.rs
@@ -14,9 +14,9 @@
 use tokio::time::{Sleep, sleep};
 
 use apricotwell_node::{AttemptOutcome, StoredAnswer};
-use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, Tokens};
+use apricotwell_types::{Refusal, RefusalKind, RequestId, RunOutcome, Tokens};
 
-use crate::Shell;
+use crate::NodeDriver;
 use crate::answer::error_body;
 use crate::relay::usage_tokens;
 
@@ -90,7 +90,7 @@
 
 /// What a passed-on answer belongs to.
 pub(crate) struct StreamContext {
-    pub(crate) shell: Arc<Shell>,
+    pub(crate) shell: Arc<NodeDriver>,
     pub(crate) request: RequestId,
     pub(crate) attempt: String,
     pub(crate) prompt: Tokens,
@@ -202,7 +202,7 @@
             "the connection to the backend server broke; the answer is not whole"
         };
         let refusal = Refusal::not_run(RefusalKind::BackendFailed, message);
-        let refusal = refusal.with_ending(Ending::OutcomeUnknown);
+        let refusal = refusal.with_outcome(RunOutcome::Unknown);
         let event = format!("data: {}\n\n", error_body(&refusal));
         Poll::Ready(Some(Ok(Bytes::from(event))))
     }
--- a/crates/apricotwell_membership/src/membership.rs
+++ b/crates/apricotwell_membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The protocol.
+//! The membership protocol.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,24 +11,24 @@
 
 use crate::member::{Contact, Member, MemberState, Update};
 
-/// News on one message; bounds its size.
-const MAX_NEWS: usize = 6;
-/// Times that news are passed on, multiplied by the logarithm of the number of members.
-const TELL_FACTOR: u32 = 3;
-/// Members asked to probe a silent one.
-const HELPERS: usize = 3;
+/// Largest number of updates in a message, besides one about its receiver; bounds its size.
+const MAX_UPDATES: usize = 6;
+/// Number of times that an update is sent, per binary logarithm of the number of members.
+const TRANSMIT_FACTOR: u32 = 3;
+/// Number of members that are asked to probe one whose direct probe timed out.
+const INDIRECT_PROBES: usize = 3;
 
-/// Periods of the protocol.
+/// Periods and timeouts of the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time between two probes.
+    /// Time between two direct probes.
     pub period: Duration,
-    /// Time in which a direct probe must be answered; twice that for an indirect one.
+    /// Timeout of a direct probe; indirect probes get twice as long.
     pub timeout: Duration,
-    /// Time in which a suspected member can refute.
-    pub suspicion: Duration,
-    /// Time for which a dead member is remembered.
-    pub memory: Duration,
+    /// Time that a suspected member has to refute the suspicion.
+    pub suspicion_timeout: Duration,
+    /// Time for which a dead member that is not listed is kept.
+    pub dead_retention: Duration,
 }
 
 impl Default for Timing {
@@ -36,60 +36,64 @@
         Self {
             period: Duration::from_millis(200),
             timeout: Duration::from_millis(300),
-            suspicion: Duration::from_millis(1500),
-            memory: Duration::from_secs(60),
+            suspicion_timeout: Duration::from_millis(1500),
+            dead_retention: Duration::from_secs(60),
         }
     }
 }
 
-/// Message between members.
+/// Message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Probe {
-    /// Asks for an answer.
+pub enum ProbeMessage {
+    /// Requests an [`Ack`](Self::Ack).
     Ping {
-        /// Number that the answer repeats.
+        /// Sequence number, repeated in the answer.
         number: u64,
     },
     /// Answers a ping.
     Ack {
-        /// Number of the ping.
+        /// Sequence number of the ping.
         number: u64,
     },
-    /// Asks the receiver to ping `target` and to pass its answer back.
+    /// Asks the receiver to ping `target` and to return its answer.
     PingFor {
-        /// Number that the answer repeats.
+        /// Sequence number, repeated in the answer.
         number: u64,
         /// Member to ping.
         target: InstanceId,
     },
 }
 
-/// Message to send, with news for the receiver.
+/// Message to send, with the updates that it carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// Receiver.
     pub to: Contact,
     /// Message.
-    pub probe: Probe,
-    /// News.
-    pub news: Vec<Update>,
+    pub message: ProbeMessage,
+    /// Updates for the receiver.
+    pub updates: Vec<Update>,
 }
 
 #[derive(Debug)]
 struct Pending {
     target: InstanceId,
     sent: Instant,
-    asked_helpers: bool,
-    // Member and number to which the answer is passed back.
-    asked_by: Option<(InstanceId, u64)>,
+    // Whether indirect probes have been requested, whose answers count as well.
+    is_indirect: bool,
+    // For a probe on behalf of another member: that member and the number of its request.
+    requester: Option<(InstanceId, u64)>,
 }
 
 /// Members of the fleet as this instance sees them.
+///
+/// Sends nothing itself: its methods return the messages to send.
 #[derive(Debug)]
 pub struct Membership {
     own: Update,
     timing: Timing,
     members: BTreeMap<InstanceId, Member>,
+    // Members still to be probed in this round, the next one last.
     rotation: Vec<InstanceId>,
     pending: BTreeMap<u64, Pending>,
     last_number: u64,
@@ -98,7 +102,9 @@
 }
 
 impl Membership {
-    /// Returns a membership that knows only itself.
+    /// Creates a membership without other members.
+    ///
+    /// `seed` determines the order of probes and the choice of indirect probes.
     pub fn new(
         now: Instant,
         me: Contact,
@@ -109,7 +115,7 @@
         let own = Update {
             contact: me,
             incarnation,
-            round: 0,
+            revision: 0,
             state: MemberState::Alive,
         };
         Self {
@@ -124,9 +130,10 @@
         }
     }
 
-    /// Takes the platform's list of live instances, this one left out or not.
+    /// Applies the platform's list of live instances, which may include this one.
     ///
-    /// A member missing from it is forgotten once it no longer answers probes.
+    /// Adds listed instances as members. A member that is not listed is kept until it has been dead
+    /// for [`Timing::dead_retention`].
     pub fn set_list(&mut self, now: Instant, list: &[Contact]) {
         for member in self.members.values_mut() {
             member.listed = false;
@@ -139,57 +146,57 @@
                 .members
                 .entry(contact.id.clone())
                 .or_insert_with(|| Member {
-                    news: Update {
+                    update: Update {
                         contact: contact.clone(),
                         incarnation: 0,
-                        round: 0,
+                        revision: 0,
                         state: MemberState::Alive,
                     },
                     since: now,
                     listed: true,
-                    told: u32::MAX,
+                    transmissions: u32::MAX,
                 });
             member.listed = true;
-            if member.news.state == MemberState::Dead || member.news.incarnation == 0 {
-                member.news.contact.address.clone_from(&contact.address);
+            if member.update.state == MemberState::Dead || member.update.incarnation == 0 {
+                member.update.contact.address.clone_from(&contact.address);
             }
         }
     }
 
-    /// Returns the members that answer or may still answer, this instance left out.
+    /// Returns the members that are not dead, without this instance.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
-            .filter(|member| member.news.state != MemberState::Dead)
+            .filter(|member| member.update.state != MemberState::Dead)
     }
 
-    /// Returns all known members, dead ones included, this instance left out.
-    pub fn all(&self) -> impl Iterator<Item = &Member> {
+    /// Returns all members, including dead ones, without this instance.
+    pub fn all_members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns a member, dead ones included.
+    /// Returns a member, even if it is dead.
     pub fn get(&self, id: &str) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// Returns this instance's own news.
-    pub fn own(&self) -> &Update {
+    /// Returns the update about this instance.
+    pub fn own_update(&self) -> &Update {
         &self.own
     }
 
-    /// Announces to every member that this instance drains.
-    pub fn leave(&mut self, now: Instant) -> Vec<Outgoing> {
+    /// Changes to [`MemberState::Leaving`] and returns messages that announce it to every member.
+    pub fn leave(&mut self, now: Instant) -> Vec<OutgoingMessage> {
         self.own.state = MemberState::Leaving;
-        self.own.round += 1;
+        self.own.revision += 1;
         let ids: Vec<InstanceId> = self.members.keys().cloned().collect();
         ids.into_iter()
             .filter_map(|id| self.ping(now, id, None))
             .collect()
     }
 
-    /// Sends what is due.
-    pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
+    /// Expires probes and members, and returns the probes that are due.
+    pub fn tick(&mut self, now: Instant) -> Vec<OutgoingMessage> {
         let mut out = Vec::new();
         self.expire_pending(now, &mut out);
         self.expire_members(now);
@@ -202,52 +209,54 @@
         out
     }
 
-    /// Returns when the ping was sent that `sender` itself answers with `number`.
-    pub fn ping_sent(&self, number: u64, sender: &str) -> Option<Instant> {
+    /// Returns when ping `number` was sent, if it is pending and was sent to `sender` itself.
+    pub fn ping_sent_at(&self, number: u64, sender: &str) -> Option<Instant> {
         let pending = self.pending.get(&number)?;
         (*pending.target == *sender).then_some(pending.sent)
     }
 
-    /// Takes a message and returns what to send.
+    /// Handles a message and returns the messages to send.
     pub fn receive(
         &mut self,
         now: Instant,
         from: &Update,
-        probe: Probe,
-        news: &[Update],
-    ) -> Vec<Outgoing> {
-        self.learn(now, from);
-        for update in news {
-            self.learn(now, update);
+        message: ProbeMessage,
+        updates: &[Update],
+    ) -> Vec<OutgoingMessage> {
+        self.apply_update(now, from);
+        for update in updates {
+            self.apply_update(now, update);
         }
         let sender = from.contact.clone();
-        match probe {
-            Probe::Ping { number } => vec![self.outgoing(sender, Probe::Ack { number })],
-            Probe::Ack { number } => self.receive_ack(number, &sender.id),
-            Probe::PingFor { number, target } => {
-                let asked_by = Some((sender.id, number));
-                self.ping(now, target, asked_by).into_iter().collect()
+        match message {
+            ProbeMessage::Ping { number } => {
+                vec![self.build_message(sender, ProbeMessage::Ack { number })]
+            }
+            ProbeMessage::Ack { number } => self.receive_ack(number, &sender.id),
+            ProbeMessage::PingFor { number, target } => {
+                let requester = Some((sender.id, number));
+                self.ping(now, target, requester).into_iter().collect()
             }
         }
     }
 
-    fn receive_ack(&mut self, number: u64, sender: &str) -> Vec<Outgoing> {
-        let speaks = |pending: &Pending| pending.asked_helpers || *pending.target == *sender;
-        if !self.pending.get(&number).is_some_and(speaks) {
+    fn receive_ack(&mut self, number: u64, sender: &str) -> Vec<OutgoingMessage> {
+        let is_expected = |pending: &Pending| pending.is_indirect || *pending.target == *sender;
+        if !self.pending.get(&number).is_some_and(is_expected) {
             return Vec::new();
         }
         let Some(pending) = self.pending.remove(&number) else {
             return Vec::new();
         };
-        let Some((asker, number)) = pending.asked_by else {
+        let Some((member_id, number)) = pending.requester else {
             return Vec::new();
         };
         let contact = self
             .members
-            .get(&asker)
-            .map(|member| member.news.contact.clone());
+            .get(&member_id)
+            .map(|member| member.update.contact.clone());
         contact
-            .map(|contact| self.outgoing(contact, Probe::Ack { number }))
+            .map(|contact| self.build_message(contact, ProbeMessage::Ack { number }))
             .into_iter()
             .collect()
     }
@@ -256,22 +265,22 @@
         &mut self,
         now: Instant,
         target: InstanceId,
-        asked_by: Option<(InstanceId, u64)>,
-    ) -> Option<Outgoing> {
-        let contact = self.members.get(&target)?.news.contact.clone();
+        requester: Option<(InstanceId, u64)>,
+    ) -> Option<OutgoingMessage> {
+        let contact = self.members.get(&target)?.update.contact.clone();
         self.last_number += 1;
         let number = self.last_number;
         let pending = Pending {
             target,
             sent: now,
-            asked_helpers: false,
-            asked_by,
+            is_indirect: false,
+            requester,
         };
         self.pending.insert(number, pending);
-        Some(self.outgoing(contact, Probe::Ping { number }))
+        Some(self.build_message(contact, ProbeMessage::Ping { number }))
     }
 
-    // Each member is probed once per round in an order that no two members share.
+    // Probes each member once per round, in a random order that differs between instances.
     fn next_target(&mut self) -> Option<InstanceId> {
         loop {
             if self.rotation.is_empty() {
@@ -286,48 +295,54 @@
         }
     }
 
-    fn expire_pending(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
+    fn expire_pending(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         let timeout = self.timing.timeout;
-        let mut silent = Vec::new();
+        let mut timed_out = Vec::new();
         let mut unanswered = Vec::new();
         for (number, pending) in &mut self.pending {
             let waited = now.saturating_duration_since(pending.sent);
             if waited >= timeout * 3 {
                 unanswered.push(*number);
-            } else if waited >= timeout && !pending.asked_helpers && pending.asked_by.is_none() {
-                pending.asked_helpers = true;
-                silent.push((*number, pending.target.clone()));
+            } else if waited >= timeout && !pending.is_indirect && pending.requester.is_none() {
+                pending.is_indirect = true;
+                timed_out.push((*number, pending.target.clone()));
             }
         }
-        for (number, target) in silent {
-            self.ask_helpers(number, &target, out);
+        for (number, target) in timed_out {
+            self.request_indirect_probes(number, &target, out);
         }
         for number in unanswered {
             let Some(pending) = self.pending.remove(&number) else {
                 continue;
             };
-            if pending.asked_by.is_none() {
+            if pending.requester.is_none() {
                 self.suspect(now, &pending.target);
             }
         }
     }
 
-    // Helpers in other zones come first: they tell a lost zone from a lost member.
-    fn ask_helpers(&mut self, number: u64, target: &InstanceId, out: &mut Vec<Outgoing>) {
+    // Prefers helpers in other zones: their answers distinguish an unreachable zone from a failed
+    // member.
+    fn request_indirect_probes(
+        &mut self,
+        number: u64,
+        target: &InstanceId,
+        out: &mut Vec<OutgoingMessage>,
+    ) {
         let own_zone = self.own.contact.zone.clone();
         let mut helpers: Vec<(bool, u32, Contact)> = Vec::new();
         for (id, member) in &self.members {
-            if id == target || member.news.state != MemberState::Alive {
+            if id == target || member.update.state != MemberState::Alive {
                 continue;
             }
-            let contact = member.news.contact.clone();
-            let order = self.random.random();
-            helpers.push((contact.zone == own_zone, order, contact));
+            let contact = member.update.contact.clone();
+            let tie_breaker = self.random.random();
+            helpers.push((contact.zone == own_zone, tie_breaker, contact));
         }
-        helpers.sort_unstable_by_key(|(same_zone, order, _)| (*same_zone, *order));
-        for (_, _, helper) in helpers.into_iter().take(HELPERS) {
+        helpers.sort_unstable_by_key(|(same_zone, tie_breaker, _)| (*same_zone, *tie_breaker));
+        for (_, _, helper) in helpers.into_iter().take(INDIRECT_PROBES) {
             let target = target.clone();
-            out.push(self.outgoing(helper, Probe::PingFor { number, target }));
+            out.push(self.build_message(helper, ProbeMessage::PingFor { number, target }));
         }
     }
 
@@ -335,18 +350,18 @@
         let Some(member) = self.members.get_mut(target) else {
             return;
         };
-        let news = Update {
+        let suspected = Update {
             state: MemberState::Suspect,
-            ..member.news.clone()
+            ..member.update.clone()
         };
-        if member.news.state == MemberState::Alive {
-            member.news = news;
+        if member.update.state == MemberState::Alive {
+            member.update = suspected;
             member.since = now;
-            member.told = 0;
-        } else if member.news.state == MemberState::Leaving {
-            member.news.state = MemberState::Dead;
+            member.transmissions = 0;
+        } else if member.update.state == MemberState::Leaving {
+            member.update.state = MemberState::Dead;
             member.since = now;
-            member.told = 0;
+            member.transmissions = 0;
         }
     }
 
@@ -354,39 +369,39 @@
         let timing = self.timing;
         for member in self.members.values_mut() {
             let age = now.saturating_duration_since(member.since);
-            if member.news.state == MemberState::Suspect && age >= timing.suspicion {
-                member.news.state = MemberState::Dead;
+            if member.update.state == MemberState::Suspect && age >= timing.suspicion_timeout {
+                member.update.state = MemberState::Dead;
                 member.since = now;
-                member.told = 0;
+                member.transmissions = 0;
             }
         }
         self.members.retain(|_, member| {
             let age = now.saturating_duration_since(member.since);
-            member.listed || member.news.state != MemberState::Dead || age < timing.memory
+            member.listed || member.update.state != MemberState::Dead || age < timing.dead_retention
         });
     }
 
-    fn learn(&mut self, now: Instant, update: &Update) {
+    fn apply_update(&mut self, now: Instant, update: &Update) {
         if update.contact.id == self.own.contact.id {
             self.refute(update);
             return;
         }
         match self.members.get_mut(&update.contact.id) {
-            Some(member) if update.rank() > member.news.rank() => {
-                if member.news.state != update.state {
+            Some(member) if update.rank() > member.update.rank() => {
+                if member.update.state != update.state {
                     member.since = now;
                 }
-                member.news = update.clone();
-                member.told = 0;
+                member.update = update.clone();
+                member.transmissions = 0;
             }
             Some(_) => {}
             None if update.state == MemberState::Dead => {}
             None => {
                 let member = Member {
-                    news: update.clone(),
+                    update: update.clone(),
                     since: now,
                     listed: false,
-                    told: 0,
+                    transmissions: 0,
                 };
                 self.members.insert(update.contact.id.clone(), member);
             }
@@ -394,41 +409,45 @@
     }
 
     fn refute(&mut self, update: &Update) {
-        let accuses = matches!(update.state, MemberState::Suspect | MemberState::Dead);
-        let current = update.incarnation == self.own.incarnation || update.incarnation == 0;
-        if accuses && current && update.round >= self.own.round {
-            self.own.round = update.round + 1;
+        let is_accusation = matches!(update.state, MemberState::Suspect | MemberState::Dead);
+        let is_current = update.incarnation == self.own.incarnation || update.incarnation == 0;
+        if is_accusation && is_current && update.revision >= self.own.revision {
+            self.own.revision = update.revision + 1;
         }
     }
 
-    fn outgoing(&mut self, to: Contact, probe: Probe) -> Outgoing {
-        let news = self.news_for(&to.id);
-        Outgoing { to, probe, news }
+    fn build_message(&mut self, to: Contact, message: ProbeMessage) -> OutgoingMessage {
+        let updates = self.updates_for(&to.id);
+        OutgoingMessage {
+            to,
+            message,
+            updates,
+        }
     }
 
-    // The least told news come first. What is thought of the receiver always goes along, so that
-    // it can refute.
-    fn news_for(&mut self, receiver: &str) -> Vec<Update> {
-        let limit = TELL_FACTOR * (self.members.len() + 1).ilog2().max(1);
-        let mut news = Vec::new();
+    // Returns the updates that have been sent least often. If the receiver is not alive in the view
+    // of this instance, that update is always included, so that the receiver can refute it.
+    fn updates_for(&mut self, receiver: &str) -> Vec<Update> {
+        let limit = TRANSMIT_FACTOR * (self.members.len() + 1).ilog2().max(1);
+        let mut updates = Vec::new();
         if let Some(member) = self.members.get(receiver)
-            && member.news.state != MemberState::Alive
+            && member.update.state != MemberState::Alive
         {
-            news.push(member.news.clone());
+            updates.push(member.update.clone());
         }
-        let mut fresh: Vec<(u32, InstanceId)> = self
+        let mut due: Vec<(u32, InstanceId)> = self
             .members
             .iter()
-            .filter(|(id, member)| ***id != *receiver && member.told < limit)
-            .map(|(id, member)| (member.told, id.clone()))
+            .filter(|(id, member)| ***id != *receiver && member.transmissions < limit)
+            .map(|(id, member)| (member.transmissions, id.clone()))
             .collect();
-        fresh.sort_unstable();
-        for (_, id) in fresh.into_iter().take(MAX_NEWS) {
+        due.sort_unstable();
+        for (_, id) in due.into_iter().take(MAX_UPDATES) {
             if let Some(member) = self.members.get_mut(&id) {
-                member.told += 1;
-                news.push(member.news.clone());
+                member.transmissions += 1;
+                updates.push(member.update.clone());
             }
         }
-        news
+        updates
     }
 }
--- a/crates/apricotwell_messages/src/news.rs
+++ b/crates/apricotwell_messages/src/member_update.rs
@@ -2,9 +2,9 @@
 
 use apricotwell_membership::{Contact, MemberState, Update};
 
-/// News of one member.
+/// Membership update about one member.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct News {
+pub struct MemberUpdate {
     /// Instance.
     #[prost(string, tag = "1")]
     pub id: String,
@@ -25,7 +25,7 @@
     pub state: u32,
 }
 
-impl News {
+impl MemberUpdate {
     /// Converts from the core's news.
     pub fn from_update(update: &Update) -> Self {
         Self {
@@ -33,7 +33,7 @@
             address: update.contact.address.clone(),
             zone: update.contact.zone.to_string(),
             incarnation: update.incarnation,
-            round: update.round,
+            round: update.revision,
             state: update.state as u32,
         }
     }
@@ -54,7 +54,7 @@
                 zone: self.zone.as_str().into(),
             },
             incarnation: self.incarnation,
-            round: self.round,
+            revision: self.round,
             state,
         })
     }
--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -5,9 +5,9 @@
 use apricotwell_leases::{
     Evidence, Freshness, LeasePlan, LeaseState, LiveMember, OwnLeases, View, plan_leases,
 };
-use apricotwell_membership::{Contact, MemberState, Membership, Outgoing, Probe};
+use apricotwell_membership::{Contact, MemberState, Membership, OutgoingMessage, ProbeMessage};
 use apricotwell_messages::{
-    Ack, Envelope, HeardEvidence, LogEvidence, Message, News, Ping, PingFor,
+    Ack, Envelope, LogEvidence, MemberUpdate, Message, Ping, PingFor, RelayedEvidence,
 };
 use apricotwell_state::State;
 use apricotwell_types::{Fence, InstanceId, Offset, Shard};
@@ -110,14 +110,14 @@
     /// Returns a peer that is alive and has been in contact, if any.
     pub(crate) fn any_peer(&self) -> Option<Contact> {
         let mut alive = self.membership.members().filter(|member| {
-            member.news.state == MemberState::Alive && member.news.incarnation > 0
+            member.update.state == MemberState::Alive && member.update.incarnation > 0
         });
-        alive.next().map(|member| member.news.contact.clone())
+        alive.next().map(|member| member.update.contact.clone())
     }
 
     pub(crate) fn contact(&self, id: &str) -> Option<Contact> {
         let member = self.membership.get(id)?;
-        Some(member.news.contact.clone())
+        Some(member.update.contact.clone())
     }
 
     pub(crate) fn membership(&self) -> &Membership {
@@ -127,16 +127,16 @@
     /// Returns the ids and zones of the members that accept clients, this one included.
     pub(crate) fn ready_members(&self) -> Vec<(InstanceId, String)> {
         let peers = self.membership.members().filter(|member| {
-            member.news.state == MemberState::Alive && member.news.incarnation > 0
+            member.update.state == MemberState::Alive && member.update.incarnation > 0
         });
         let mut open: Vec<(InstanceId, String)> = peers
             .map(|member| {
-                let contact = &member.news.contact;
+                let contact = &member.update.contact;
                 (contact.id.clone(), contact.zone.to_string())
             })
             .collect();
         if !self.leaving {
-            let own = &self.membership.own().contact;
+            let own = &self.membership.own_update().contact;
             open.push((own.id.clone(), own.zone.to_string()));
         }
         open
@@ -155,9 +155,9 @@
         match self.membership.get(instance) {
             None => true,
             Some(member) => {
-                member.news.incarnation > incarnation
-                    || (member.news.state == MemberState::Dead
-                        && member.news.incarnation == incarnation)
+                member.update.incarnation > incarnation
+                    || (member.update.state == MemberState::Dead
+                        && member.update.incarnation == incarnation)
             }
         }
     }
@@ -186,24 +186,28 @@
         next: Offset,
         envelope: &Envelope,
     ) -> Vec<(Contact, Envelope)> {
-        let Some(sender) = envelope.sender.as_ref().and_then(News::to_update) else {
+        let Some(sender) = envelope.sender.as_ref().and_then(MemberUpdate::to_update) else {
             return Vec::new();
         };
         let probe = match &envelope.body {
-            Some(Message::Ping(ping)) => Probe::Ping {
+            Some(Message::Ping(ping)) => ProbeMessage::Ping {
                 number: ping.number,
             },
             Some(Message::Ack(ack)) => {
                 self.apply_evidence(ack.number, &sender.contact.id, envelope);
-                Probe::Ack { number: ack.number }
+                ProbeMessage::Ack { number: ack.number }
             }
-            Some(Message::PingFor(request)) => Probe::PingFor {
+            Some(Message::PingFor(request)) => ProbeMessage::PingFor {
                 number: request.number,
                 target: request.target.as_str().into(),
             },
             _ => return Vec::new(),
         };
-        let updates: Vec<_> = envelope.news.iter().filter_map(News::to_update).collect();
+        let updates: Vec<_> = envelope
+            .updates
+            .iter()
+            .filter_map(MemberUpdate::to_update)
+            .collect();
         let out = self.membership.receive(now, &sender, probe, &updates);
         self.envelopes(now, next, out)
     }
@@ -212,19 +216,19 @@
     // the local clock. Ages of relayed evidence count from that time, so that no evidence appears
     // newer than it is.
     fn apply_evidence(&mut self, number: u64, peer: &InstanceId, envelope: &Envelope) {
-        let Some(requested_at) = self.membership.ping_sent(number, peer) else {
+        let Some(requested_at) = self.membership.ping_sent_at(number, peer) else {
             return;
         };
         if let Some(evidence) = envelope.evidence {
             let evidence = Evidence {
                 requested_at,
                 next: evidence.next,
-                view_age: evidence.contact_ms.map(Duration::from_millis),
-                log_contact_age: evidence.direct_ms.map(Duration::from_millis),
+                view_age: evidence.view_age_ms.map(Duration::from_millis),
+                log_contact_age: evidence.log_contact_ms.map(Duration::from_millis),
             };
             self.freshness.record_evidence(peer.clone(), evidence);
         }
-        for relayed in &envelope.heard {
+        for relayed in &envelope.relayed {
             let Some(requested_at) =
                 requested_at.checked_sub(Duration::from_millis(relayed.age_ms))
             else {
@@ -236,8 +240,8 @@
             let evidence = Evidence {
                 requested_at,
                 next: relayed.next,
-                view_age: relayed.contact_ms.map(Duration::from_millis),
-                log_contact_age: relayed.direct_ms.map(Duration::from_millis),
+                view_age: relayed.view_age_ms.map(Duration::from_millis),
+                log_contact_age: relayed.log_contact_ms.map(Duration::from_millis),
             };
             self.freshness
                 .record_evidence(relayed.member.as_str().into(), evidence);
@@ -246,7 +250,7 @@
 
     // Returns some statements of other members, in rotation. This way a statement reaches every
     // member, although each member probes only a few others.
-    fn relay_evidence(&mut self, now: Instant) -> Vec<HeardEvidence> {
+    fn relay_evidence(&mut self, now: Instant) -> Vec<RelayedEvidence> {
         let mut statements: Vec<(&InstanceId, &Evidence)> =
             self.freshness.recent_evidence(now).collect();
         statements.sort_unstable_by_key(|(peer, _)| *peer);
@@ -255,15 +259,15 @@
         self.next_relayed = first.wrapping_add(MAX_RELAYED);
         let selected = (0..count.min(MAX_RELAYED)).map(|index| statements[(first + index) % count]);
         selected
-            .map(|(peer, evidence)| HeardEvidence {
+            .map(|(peer, evidence)| RelayedEvidence {
                 member: peer.to_string(),
                 next: evidence.next,
                 age_ms: now
                     .saturating_duration_since(evidence.requested_at)
                     .as_millis() as u64
                     + 1,
-                contact_ms: evidence.view_age.map(|age| age.as_millis() as u64),
-                direct_ms: evidence.log_contact_age.map(|age| age.as_millis() as u64),
+                view_age_ms: evidence.view_age.map(|age| age.as_millis() as u64),
+                log_contact_ms: evidence.log_contact_age.map(|age| age.as_millis() as u64),
             })
             .collect()
     }
@@ -271,10 +275,10 @@
     /// Wraps a message in an envelope with this instance's membership state and log evidence.
     pub(crate) fn envelope(&self, now: Instant, next: Offset, body: Message) -> Envelope {
         Envelope {
-            sender: Some(News::from_update(self.membership.own())),
-            news: Vec::new(),
+            sender: Some(MemberUpdate::from_update(self.membership.own_update())),
+            updates: Vec::new(),
             evidence: Some(self.evidence(now, next)),
-            heard: Vec::new(),
+            relayed: Vec::new(),
             body: Some(body),
         }
     }
@@ -284,8 +288,8 @@
         LogEvidence {
             next,
             // Rounded up, so that the contact never appears more recent than it was.
-            contact_ms: age.map(|age| age.as_millis() as u64 + 1),
-            direct_ms: self.last_contact.map(|last_contact| {
+            view_age_ms: age.map(|age| age.as_millis() as u64 + 1),
+            log_contact_ms: self.last_contact.map(|last_contact| {
                 now.saturating_duration_since(last_contact).as_millis() as u64 + 1
             }),
         }
@@ -295,23 +299,27 @@
         &mut self,
         now: Instant,
         next: Offset,
-        out: Vec<Outgoing>,
+        out: Vec<OutgoingMessage>,
     ) -> Vec<(Contact, Envelope)> {
         let mut envelopes = Vec::new();
         for outgoing in out {
-            let is_answer = matches!(outgoing.probe, Probe::Ack { .. });
-            let body = match outgoing.probe {
-                Probe::Ping { number } => Message::Ping(Ping { number }),
-                Probe::Ack { number } => Message::Ack(Ack { number }),
-                Probe::PingFor { number, target } => Message::PingFor(PingFor {
+            let is_answer = matches!(outgoing.message, ProbeMessage::Ack { .. });
+            let body = match outgoing.message {
+                ProbeMessage::Ping { number } => Message::Ping(Ping { number }),
+                ProbeMessage::Ack { number } => Message::Ack(Ack { number }),
+                ProbeMessage::PingFor { number, target } => Message::PingFor(PingFor {
                     number,
                     target: target.to_string(),
                 }),
             };
             let mut envelope = self.envelope(now, next, body);
-            envelope.news = outgoing.news.iter().map(News::from_update).collect();
+            envelope.updates = outgoing
+                .updates
+                .iter()
+                .map(MemberUpdate::from_update)
+                .collect();
             if is_answer {
-                envelope.heard = self.relay_evidence(now);
+                envelope.relayed = self.relay_evidence(now);
             }
             envelopes.push((outgoing.to, envelope));
         }
@@ -413,7 +421,7 @@
     fn all_answered(&self) -> bool {
         self.listed.iter().all(|id| {
             let member = self.membership.get(id);
-            *id == self.own_id || member.is_some_and(|member| member.news.incarnation > 0)
+            *id == self.own_id || member.is_some_and(|member| member.update.incarnation > 0)
         })
     }
 
@@ -428,12 +436,12 @@
         let mut live: Vec<LiveMember> = self
             .membership
             .members()
-            .filter(|member| member.news.incarnation > 0)
-            .filter(|member| reaches_log(&member.news.contact.id))
+            .filter(|member| member.update.incarnation > 0)
+            .filter(|member| reaches_log(&member.update.contact.id))
             .map(|member| LiveMember {
-                id: member.news.contact.id.clone(),
-                incarnation: member.news.incarnation,
-                draining: member.news.state == MemberState::Leaving,
+                id: member.update.contact.id.clone(),
+                incarnation: member.update.incarnation,
+                draining: member.update.state == MemberState::Leaving,
             })
             .collect();
         live.push(LiveMember {
--- a/crates/apricotwell_node/src/node/coordination.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -5,8 +5,8 @@
 use prost::Message as _;
 
 use apricotwell_messages::{Message, Reclaim};
-use apricotwell_placement::{PlacementView, Step};
-use apricotwell_records::{Body, CHECKPOINT_STREAM, Decide, Retire, Take};
+use apricotwell_placement::{PlacementView, PlanStep};
+use apricotwell_records::{AcquireLeases, Body, CHECKPOINT_STREAM, DecideLoad, RetireReplica};
 use apricotwell_state::{Replica, chunk_checkpoint};
 use apricotwell_timeline::{Event, EventKind};
 use apricotwell_types::{ServerId, Set, shard_of};
@@ -26,15 +26,15 @@
         if let Some(report) = &report {
             let load = apricotwell_routing::LoadReport {
                 requests: report.requests,
-                measured: now.checked_sub(report.load_age).unwrap_or(now),
+                measured_at: now.checked_sub(report.load_age).unwrap_or(now),
             };
-            self.router.note_report(server, load);
+            self.router.record_report(server, load);
         }
         let crashed = self.servers.on_report(now, server, report);
         for digest in crashed {
             let digest = digest.0.to_vec();
-            let suspect = apricotwell_records::Suspect { digest };
-            self.writer.push(Body::Suspect(suspect));
+            let suspect = apricotwell_records::CrashSuspect { digest };
+            self.writer.push(Body::CrashSuspect(suspect));
             let event = Event::new(EventKind::ServerCrashed).with_server(server.to_string());
             self.emit(now, event);
         }
@@ -56,8 +56,8 @@
             .map(|replica| replica.model.clone());
         if let (OrderKind::Load, Some(model)) = (kind, &model) {
             match outcome {
-                OrderOutcome::Done => self.planner.note_success(model),
-                OrderOutcome::Failed => self.planner.note_failure(now, model),
+                OrderOutcome::Done => self.planner.record_load_success(model),
+                OrderOutcome::Failed => self.planner.record_load_failure(now, model),
                 OrderOutcome::Unknown => {}
             }
         }
@@ -108,7 +108,7 @@
             self.hand_over(now, take);
         }
         if let Some(take) = plan.takeover {
-            self.writer.push(Body::Take(take));
+            self.writer.push(Body::AcquireLeases(take));
         }
         let fleet = &self.fleet;
         let shards = self.settings.genesis.shards;
@@ -129,7 +129,7 @@
 
     // Sends the buckets before the lease record, so that the new holder has them when it reads the
     // lease.
-    fn hand_over(&mut self, now: Instant, take: Take) {
+    fn hand_over(&mut self, now: Instant, take: AcquireLeases) {
         let shards = self.settings.genesis.shards;
         for shard in &take.shards {
             self.fleet.release(*shard);
@@ -140,7 +140,7 @@
                 self.send(now, &to, Message::BucketState(bucket));
             }
         }
-        self.writer.push(Body::Take(take));
+        self.writer.push(Body::AcquireLeases(take));
     }
 
     fn plan_replicas(&mut self, now: Instant) {
@@ -152,7 +152,7 @@
             // A new lease holder does not know when the model was last used, so it assumes now.
             if fence_of(&replica.model).is_some() && self.demand.last_use(&replica.model).is_none()
             {
-                self.demand.touch(now, &replica.model);
+                self.demand.assume_used(now, &replica.model);
             }
         }
         let servers = self.servers.views(now, state);
@@ -172,16 +172,16 @@
         for replica in self.orders.lost(&orders) {
             let record = state.ledger().replica(replica);
             let fence = record.and_then(|record| fence_of(&record.model));
-            steps.extend(fence.map(|fence| Step::Retire { replica, fence }));
+            steps.extend(fence.map(|fence| PlanStep::Retire { replica, fence }));
         }
         for step in steps {
             self.apply_step(now, step);
         }
     }
 
-    fn apply_step(&mut self, now: Instant, step: Step) {
+    fn apply_step(&mut self, now: Instant, step: PlanStep) {
         match step {
-            Step::Decide {
+            PlanStep::Load {
                 model,
                 version,
                 server,
@@ -190,7 +190,7 @@
                 let Some(record) = self.state.ledger().server(&server) else {
                     return;
                 };
-                self.writer.push(Body::Decide(Decide {
+                self.writer.push(Body::DecideLoad(DecideLoad {
                     model: model.to_string(),
                     version,
                     server: server.to_string(),
@@ -198,10 +198,11 @@
                     fence,
                 }));
             }
-            Step::Retire { replica, fence } => {
-                self.writer.push(Body::Retire(Retire { replica, fence }));
+            PlanStep::Retire { replica, fence } => {
+                self.writer
+                    .push(Body::RetireReplica(RetireReplica { replica, fence }));
             }
-            Step::Reclaim { replica } => self.request_reclaim(now, replica),
+            PlanStep::Reclaim { replica } => self.request_reclaim(now, replica),
         }
     }
 
@@ -282,7 +283,7 @@
         let shards = self.settings.genesis.shards;
         let pools: Vec<&str> = self
             .demand
-            .wanted(now)
+            .requested_models(now)
             .iter()
             .filter_map(|model| state.model(model.split(':').next().unwrap_or(model)))
             .map(|model| model.pool.as_str())
--- a/crates/apricotwell_node/src/node/idempotency.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -4,7 +4,7 @@
 
 use apricotwell_claims::ClaimOutcome;
 use apricotwell_timeline::{Event, EventKind};
-use apricotwell_types::{Ending, Refusal, RefusalKind, RequestId, ServerId};
+use apricotwell_types::{Refusal, RefusalKind, RequestId, RunOutcome, ServerId};
 
 use super::Node;
 use super::serving::BUSY_RETRY_DELAY;
@@ -48,7 +48,7 @@
                 return;
             }
             ClaimResult::Answered(answer) => {
-                self.router.release(&server);
+                self.router.cancel_request(&server);
                 let name = self.request_name(id);
                 let event = Event::new(EventKind::AnswerReplayed).with_request(name);
                 self.emit(now, event);
@@ -58,19 +58,19 @@
                 return;
             }
             ClaimResult::Held => Refusal::not_run(
-                RefusalKind::KeyInUse,
+                RefusalKind::IdempotencyKeyInUse,
                 "a request with this Idempotency-Key is still in progress; retry later to get its \
                  outcome",
             )
-            .with_ending(Ending::OutcomeUnknown)
+            .with_outcome(RunOutcome::Unknown)
             .with_retry_after(BUSY_RETRY_DELAY),
             ClaimResult::Ended(ending) => Refusal::not_run(
                 RefusalKind::BackendFailed,
                 "a request with this Idempotency-Key ended without an answer and is not run again",
             )
-            .with_ending(ending),
+            .with_outcome(ending),
             ClaimResult::OtherBody => Refusal::not_run(
-                RefusalKind::KeyReused,
+                RefusalKind::IdempotencyKeyReused,
                 "this Idempotency-Key came before with another body; use a new key",
             ),
             ClaimResult::Unavailable => {
@@ -84,7 +84,7 @@
                 .with_retry_after(BUSY_RETRY_DELAY)
             }
         };
-        self.router.release(&server);
+        self.router.cancel_request(&server);
         self.refuse(now, id, refusal);
     }
 
@@ -94,7 +94,7 @@
             return;
         };
         if let Some(refusal) = self.recheck(&request.submission) {
-            self.router.release(&server);
+            self.router.cancel_request(&server);
             self.refuse(now, id, refusal);
             return;
         }
@@ -106,7 +106,7 @@
         match found {
             Some((_, replica)) => self.dispatch(now, id, server, *replica),
             None => {
-                self.router.release(&server);
+                self.router.cancel_request(&server);
                 self.enqueue(now, id);
             }
         }
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use apricotwell_admission::{QueueFull, Waiting};
+use apricotwell_admission::{QueueFull, QueuedRequest};
 use apricotwell_claims::ClaimOutcome;
 use apricotwell_messages::{Demand, DemandItem, Message};
 use apricotwell_routing::Candidate;
 use apricotwell_state::{KeyOwner, ReplicaPhase, ResolvedModel};
 use apricotwell_timeline::{Event, EventKind};
 use apricotwell_types::{
-    Ending, InstanceId, KeyDigest, ModelId, OrgId, Refusal, RefusalKind, ReplicaId, RequestId,
+    InstanceId, KeyDigest, ModelId, OrgId, Refusal, RefusalKind, ReplicaId, RequestId, RunOutcome,
     ServerId, WorkClass, shard_of,
 };
 
@@ -35,7 +35,7 @@
         self.check_keys(now)?;
         let owner = self.state.key_owner(key).ok_or_else(|| {
             Refusal::not_run(
-                RefusalKind::InvalidKey,
+                RefusalKind::InvalidApiKey,
                 "the API key is unknown or withdrawn; ask your operator for a new one",
             )
         })?;
@@ -96,7 +96,7 @@
             self.on_attempt_ended(now, id, &attempt, AttemptOutcome::ClientGone);
             return;
         }
-        self.drop_request(now, id, 0, Some(Ending::NotRun));
+        self.drop_request(now, id, 0, Some(RunOutcome::NotRun));
         self.dispatch_queued(now);
         self.flush(now);
     }
@@ -124,7 +124,7 @@
                 self.finish_answered(now, id, answer, used)
             }
             AttemptOutcome::ClientGone => {
-                self.drop_request(now, id, u64::MAX, Some(Ending::OutcomeUnknown));
+                self.drop_request(now, id, u64::MAX, Some(RunOutcome::Unknown));
             }
             AttemptOutcome::NotRun { .. } => self.retry_not_run(now, id),
             _ => self.retry_or_fail(now, id, &server, &outcome),
@@ -144,7 +144,7 @@
             let message = "the instance is shutting down; look up another address";
             let refusal = Refusal::not_run(RefusalKind::Unavailable, message);
             let refusal = if running {
-                refusal.with_ending(Ending::OutcomeUnknown)
+                refusal.with_outcome(RunOutcome::Unknown)
             } else {
                 refusal.with_retry_after(BUSY_RETRY_DELAY)
             };
@@ -181,7 +181,7 @@
         }
         let Some(org) = self.state.org(&submission.org) else {
             let message = "the organisation of this key has no settings; ask your operator";
-            return Err(Refusal::not_run(RefusalKind::InvalidKey, message));
+            return Err(Refusal::not_run(RefusalKind::InvalidApiKey, message));
         };
         if submission.cost() > org.burst {
             let message = format!(
@@ -208,7 +208,7 @@
         let estimate = self
             .wait_estimates
             .get(&name)
-            .and_then(|wait| wait.wait(ahead));
+            .and_then(|wait| wait.expected_wait(ahead));
         let left = submission.deadline.saturating_duration_since(now);
         match estimate {
             Some(wait) if ahead > 0 && wait > left => {
@@ -235,7 +235,7 @@
         };
         let requests = self.tokens.due_requests(now, holder_of);
         for (to, request) in requests {
-            self.send(now, &to, Message::TokenAsk(request));
+            self.send(now, &to, Message::TokenRequest(request));
         }
     }
 
@@ -258,7 +258,7 @@
         };
         request.stage = Stage::Queued;
         let submission = &request.submission;
-        let entry = Waiting {
+        let entry = QueuedRequest {
             request: id,
             org: submission.org.clone(),
             model: submission.queue_name(),
@@ -294,7 +294,7 @@
             };
             let others = self.queue.waiting_for(&entry.model) > 0;
             let wait = self.wait_estimates.entry(entry.model.clone()).or_default();
-            wait.note_start(now, others);
+            wait.record_start(now, others);
             self.start_attempt(now, entry.request, server, replica);
         }
     }
@@ -302,7 +302,7 @@
     pub(super) fn choose_server(
         &self,
         now: Instant,
-        entry: &Waiting,
+        entry: &QueuedRequest,
         cache: &mut CandidateCache,
     ) -> Option<(ServerId, Option<ReplicaId>)> {
         let candidates = cache
@@ -316,9 +316,11 @@
         let servers: Vec<Candidate> = candidates
             .iter()
             .map(|(candidate, _)| candidate.clone())
-            .filter(|candidate| !is_suspect || self.router.load(now, &candidate.server) == 0.0)
+            .filter(|candidate| {
+                !is_suspect || self.router.estimated_load(now, &candidate.server) == 0.0
+            })
             .collect();
-        let server = self.router.choose(now, &servers, prefix)?;
+        let server = self.router.select_server(now, &servers, prefix)?;
         let found = candidates
             .iter()
             .find(|(candidate, _)| candidate.server == server)?;
@@ -354,7 +356,7 @@
                     server: replica.server.clone(),
                     zone: server.zone.clone(),
                     slots: pool.slots,
-                    ready: self.orders.first_seen(id).unwrap_or(now),
+                    ready_at: self.orders.first_seen(id).unwrap_or(now),
                 };
                 Some((candidate, Some(id)))
             })
@@ -374,7 +376,7 @@
                     server: server.id.clone(),
                     zone: server.zone.clone(),
                     slots,
-                    ready: self.started,
+                    ready_at: self.started,
                 };
                 (candidate, None)
             })
@@ -400,7 +402,7 @@
             request.submission.idempotency_key,
         );
         let needs_claim = claim.is_some() && !request.claimed;
-        self.router.note_start(&server, prefix);
+        self.router.begin_request(&server, prefix);
         let base = self.request_name(id);
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -423,7 +425,7 @@
             .is_some_and(|key| self.state.key_owner(&key).is_none());
         if withdrawn {
             let message = "the API key was withdrawn while the request waited";
-            return Some(Refusal::not_run(RefusalKind::InvalidKey, message));
+            return Some(Refusal::not_run(RefusalKind::InvalidApiKey, message));
         }
         if self.state.is_quarantined(submission.body_digest) {
             let message = "this body crashed backend servers and is quarantined";
@@ -451,7 +453,7 @@
             return;
         };
         let Some(address) = address else {
-            self.router.release(&server);
+            self.router.cancel_request(&server);
             self.enqueue(now, id);
             return;
         };
@@ -510,7 +512,7 @@
             outcome,
             AttemptOutcome::Answered { .. } | AttemptOutcome::ClientGone | AttemptOutcome::Failed
         );
-        self.router.note_end(now, server, is_healthy);
+        self.router.end_request(now, server, is_healthy);
         if let AttemptOutcome::NotRun { unreachable: true } = outcome {
             self.servers.mark_unreachable(now, server);
         }
