--- a/crates/apricotwell_admission/src/lib.rs
+++ b/crates/apricotwell_admission/src/lib.rs
@@ -1,8 +1,9 @@
 //! Fair admission queue with deadlines.
 //!
-//! Organisations share servers by served tokens over their weights; within an organisation the
-//! most urgent class and deadline come first. A flood of one organisation so moves only its own
-//! requests. The choice is argued in `docs/design/admission.md`.
+//! Organisations share the servers by start-time fair queueing: each gets served tokens in
+//! proportion to its weight. Within an organisation, requests are ordered by class and deadline. A
+//! flood of requests from one organisation therefore delays only its own requests. See
+//! `docs/design/admission.md` for the reasons.
 //!
 //! # Examples
 //!
@@ -13,7 +14,7 @@
 //!
 //! let now = Instant::now();
 //! let mut queue = FairQueue::new(100);
-//! let entry = |request, org: &str| Waiting {
+//! let entry = |request, org: &str| QueuedRequest {
 //!     request,
 //!     org: org.into(),
 //!     model: "m".into(),
@@ -31,10 +32,10 @@
 mod queue;
 mod wait_estimate;
 
-pub use queue::{FairQueue, QueueFull, Waiting};
+pub use queue::{FairQueue, QueueFull, QueuedRequest};
 pub use wait_estimate::WaitEstimate;
 
-/// What nearly every user of the crate needs.
+/// Re-exports of the commonly used items.
 pub mod prelude {
-    pub use crate::{FairQueue, QueueFull, WaitEstimate, Waiting};
+    pub use crate::{FairQueue, QueueFull, QueuedRequest, WaitEstimate};
 }
--- a/crates/apricotwell_claims/tests/table.rs
+++ b/crates/apricotwell_claims/tests/table.rs
@@ -1,33 +1,36 @@
 //! Effects of claim records on the table.
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, ClaimTable, RecordedAnswer, Verdict};
-use apricotwell_records::{ClaimBody, ClaimRecord, Claimed, Finished, Opened};
-use apricotwell_types::Ending;
+use apricotwell_records::{AttemptFinished, ClaimBody, ClaimRecord, KeyClaimed, StreamOpened};
+use apricotwell_types::RunOutcome;
 
 const KEY: BodyDigest = BodyDigest([1; 16]);
 const BODY: BodyDigest = BodyDigest([2; 16]);
 
 fn opened(fence: u64) -> ClaimRecord {
-    record(fence, ClaimBody::Opened(Opened {}))
+    record(fence, ClaimBody::StreamOpened(StreamOpened {}))
 }
 
 fn claimed(fence: u64, attempt: &str) -> ClaimRecord {
-    let claimed = Claimed {
+    let claimed = KeyClaimed {
         key: KEY.0.to_vec(),
         body: BODY.0.to_vec(),
         attempt: attempt.to_owned(),
     };
-    record(fence, ClaimBody::Claimed(claimed))
+    record(fence, ClaimBody::KeyClaimed(claimed))
 }
 
 fn finished(fence: u64, attempt: &str, outcome: &ClaimOutcome) -> ClaimRecord {
-    record(fence, ClaimBody::Finished(outcome.to_record(KEY, attempt)))
+    record(
+        fence,
+        ClaimBody::AttemptFinished(outcome.to_record(KEY, attempt)),
+    )
 }
 
 fn record(fence: u64, body: ClaimBody) -> ClaimRecord {
     ClaimRecord {
         fence,
-        written: 5,
+        written_ms: 5,
         body: Some(body),
     }
 }
@@ -61,7 +64,7 @@
         body: b"done".to_vec(),
     };
     let answered = ClaimOutcome::Answered(answer.clone());
-    let unknown = ClaimOutcome::NoAnswer(Ending::OutcomeUnknown);
+    let unknown = ClaimOutcome::NoAnswer(RunOutcome::Unknown);
     let table = apply_all(&[
         opened(1),
         claimed(1, "a"),
@@ -79,7 +82,7 @@
 
 #[test]
 fn a_claim_that_ended_as_not_run_frees_its_key() {
-    let not_run = ClaimOutcome::NoAnswer(Ending::NotRun);
+    let not_run = ClaimOutcome::NoAnswer(RunOutcome::NotRun);
     let table = apply_all(&[
         opened(1),
         claimed(1, "a"),
@@ -91,7 +94,7 @@
 
 #[test]
 fn republished_claims_rebuild_the_same_table() {
-    let failed = ClaimOutcome::NoAnswer(Ending::FailedAfterRun);
+    let failed = ClaimOutcome::NoAnswer(RunOutcome::FailedAfterRun);
     let mut table = apply_all(&[opened(1), claimed(1, "a"), finished(1, "a", &failed)]);
     let republished = table.republish(10, 100);
     assert_eq!(republished.len(), 2);
@@ -113,12 +116,12 @@
 
 #[test]
 fn malformed_records_have_no_effect() {
-    let short_digests = ClaimBody::Claimed(Claimed {
+    let short_digests = ClaimBody::KeyClaimed(KeyClaimed {
         key: vec![1],
         body: vec![2],
         attempt: "a".to_owned(),
     });
-    let empty_outcome = ClaimBody::Finished(Finished::default());
+    let empty_outcome = ClaimBody::AttemptFinished(AttemptFinished::default());
     let table = apply_all(&[
         opened(1),
         record(1, short_digests),
--- a/crates/apricotwell_entry/src/api/operators.rs
+++ b/crates/apricotwell_entry/src/api/operators.rs
@@ -131,6 +131,6 @@
     });
     known.ok_or_else(|| {
         let message = "no valid operator token: use apricotwell-control with your operator key";
-        Refusal::not_run(apricotwell_types::RefusalKind::InvalidKey, message)
+        Refusal::not_run(apricotwell_types::RefusalKind::InvalidApiKey, message)
     })
 }
--- a/crates/apricotwell_entry/src/api/validation.rs
+++ b/crates/apricotwell_entry/src/api/validation.rs
@@ -36,7 +36,7 @@
 ) -> Result<AuthenticatedClient, Refusal> {
     let secret = bearer_token(request).ok_or_else(|| {
         let message = "no API key: send it as `Authorization: Bearer KEY`";
-        Refusal::not_run(RefusalKind::InvalidKey, message)
+        Refusal::not_run(RefusalKind::InvalidApiKey, message)
     })?;
     // A key in the URL would appear in logs and be forwarded to backend servers.
     if request
@@ -77,7 +77,7 @@
         Ok(Err(_)) => return Err(too_large(callers.max_body_bytes)),
         Err(_) => {
             let message = "the body was sent too slowly: send it again";
-            return Err(Refusal::not_run(RefusalKind::TooSlow, message));
+            return Err(Refusal::not_run(RefusalKind::RequestTimeout, message));
         }
     };
     if let Some(secret) = bearer_token(request)
@@ -140,7 +140,7 @@
 
 fn too_large(max: usize) -> Refusal {
     let message = format!("the body is larger than {max} bytes: send a smaller one");
-    Refusal::not_run(RefusalKind::TooLarge, message)
+    Refusal::not_run(RefusalKind::RequestTooLarge, message)
 }
 
 pub(crate) fn bad_request(message: impl Into<String>) -> Refusal {
--- a/crates/apricotwell_fakes/examples/slopes.rs
+++ b/crates/apricotwell_fakes/examples/slopes.rs
@@ -5,14 +5,14 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use apricotwell_admission::{FairQueue, Waiting};
+use apricotwell_admission::{FairQueue, QueuedRequest};
 use apricotwell_claims::{BodyDigest, ClaimTable};
 use apricotwell_fakes::{World, WorldOptions};
 use apricotwell_limits::{Bucket, Escrow, Rate};
-use apricotwell_placement::{DemandTable, PlacementView, Planner, ServerView, Use};
+use apricotwell_placement::{DemandTable, ModelUsage, PlacementPlanner, PlacementView, ServerView};
 use apricotwell_records::{
-    Body, ClaimBody, ClaimRecord, Claimed, Decide, OperatorKey, Put, Record, ServerUp, Settle,
-    SettleOutcome, Take,
+    AcquireLeases, Body, ClaimBody, ClaimRecord, DecideLoad, KeyClaimed, OperatorKey, PutConfig,
+    Record, ServerUp, SettleOutcome, SettleReplica,
 };
 use apricotwell_routing::{Candidate, Router};
 use apricotwell_state::{Genesis, State, chunk_checkpoint, restore_checkpoint};
@@ -120,13 +120,13 @@
         let record = Record::new("entry-1", 1_796_337_954_803_960, sequence, body);
         apply(built, &record)
     };
-    let take = Take {
+    let take = AcquireLeases {
         shards: (0..1024).collect(),
         fences: vec![0; 1024],
         holder: "entry-1".to_owned(),
         incarnation: 1_796_337_954_803_960,
     };
-    let fence = write(&mut built, Body::Take(take));
+    let fence = write(&mut built, Body::AcquireLeases(take));
     for index in 0..servers {
         write(
             &mut built,
@@ -164,18 +164,18 @@
 where
     F: FnMut(&mut Built, Body) -> u64,
 {
-    let decide = Decide {
+    let decide = DecideLoad {
         model,
         version: "1".to_owned(),
         server: format!("s{server}"),
         incarnation: 1_796_337_954_803,
         fence,
     };
-    let replica = write(built, Body::Decide(decide));
+    let replica = write(built, Body::DecideLoad(decide));
     let outcome = SettleOutcome::Loaded as i32;
     write(
         built,
-        Body::Settle(Settle {
+        Body::SettleReplica(SettleReplica {
             replica,
             fence,
             outcome,
@@ -184,7 +184,7 @@
 }
 
 fn put(built: &mut Built, root: &OperatorKey, path: &str, text: &str) {
-    let mut put = Put {
+    let mut put = PutConfig {
         path: path.to_owned(),
         expected: 0,
         value: Some(text.to_owned()),
@@ -192,7 +192,7 @@
         signature: Vec::new(),
     };
     root.sign("root", &mut put);
-    apply(built, &Record::new("root", 0, 0, Body::Put(put)));
+    apply(built, &Record::new("root", 0, 0, Body::PutConfig(put)));
 }
 
 fn apply(built: &mut Built, record: &Record) -> u64 {
@@ -258,12 +258,12 @@
         let now = Instant::now();
         let mut demand = DemandTable::new(Duration::from_secs(60));
         for index in 0..4 {
-            let told = Use {
+            let told = ModelUsage {
                 waiting: 1,
                 running: 0,
                 deadline: now + Duration::from_secs(5),
             };
-            demand.note(now, &format!("m{}", models - 1 - index), "entry-1", told);
+            demand.record_usage(now, &format!("m{}", models - 1 - index), "entry-1", told);
         }
         let views = built.state.ledger().servers();
         let servers = views
@@ -292,7 +292,7 @@
                 .is_multiple_of(410)
                 .then_some(1)
         };
-        let mut planner = Planner::default();
+        let mut planner = PlacementPlanner::default();
         let rounds = 20;
         let began = Instant::now();
         for _ in 0..rounds {
@@ -323,13 +323,15 @@
                 server: format!("s{index}").into(),
                 zone: if index % 4 == 0 { "zone-a" } else { "zone-b" }.into(),
                 slots: 1_000_000,
-                ready: now,
+                ready_at: now,
             })
             .collect();
         each(&format!("route among {servers} servers"), 20_000, |index| {
-            if let Some(server) = router.choose(now, &candidates, Some(u64::from(index % 100))) {
+            if let Some(server) =
+                router.select_server(now, &candidates, Some(u64::from(index % 100)))
+            {
                 let server: ServerId = server;
-                router.note_start(&server, Some(u64::from(index % 100)));
+                router.begin_request(&server, Some(u64::from(index % 100)));
             }
         });
     }
@@ -339,7 +341,7 @@
     for (orgs, waiting) in [(5, 100), (5, 2_000), (200, 2_000), (200, 20_000)] {
         let now = Instant::now();
         let mut queue = FairQueue::new(1_000_000);
-        let entry = |request: u64| Waiting {
+        let entry = |request: u64| QueuedRequest {
             request,
             org: format!("o{}", request % orgs).into(),
             model: format!("m{}", request % 7).into(),
@@ -404,15 +406,15 @@
             key
         };
         each(&format!("claim applied up to {claims}"), claims, |index| {
-            let claimed = Claimed {
+            let claimed = KeyClaimed {
                 key: key(index).to_vec(),
                 body: vec![1; 16],
                 attempt: "entry-1/1796337954803960/123456/1".to_owned(),
             };
             let record = ClaimRecord {
                 fence: 1,
-                written: 1,
-                body: Some(ClaimBody::Claimed(claimed)),
+                written_ms: 1,
+                body: Some(ClaimBody::KeyClaimed(claimed)),
             };
             bytes += record.to_bytes().len();
             table.apply(u64::from(index) + 1, &record);
--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -5,13 +5,13 @@
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, ClaimTable, Verdict};
 use apricotwell_messages::{
-    ClaimAsk, ClaimFinish, ClaimFinished, ClaimReply, ClaimVerdict, Message,
+    ClaimFinish, ClaimFinishAck, ClaimReply, ClaimRequest, ClaimVerdict, Message,
 };
 use apricotwell_records::{
-    AppendError, ClaimBody, ClaimRecord, Claimed, Finished, LogBatch, Opened, ReadError,
-    claim_stream,
+    AppendError, AttemptFinished, ClaimBody, ClaimRecord, KeyClaimed, LogBatch, ReadError,
+    StreamOpened, claim_stream,
 };
-use apricotwell_types::{Ending, Fence, InstanceId, Offset, Shard};
+use apricotwell_types::{Fence, InstanceId, Offset, RunOutcome, Shard};
 
 use crate::Action;
 
@@ -32,14 +32,14 @@
 #[derive(Debug)]
 struct PendingClaim {
     from: InstanceId,
-    claim: ClaimAsk,
+    claim: ClaimRequest,
     since: Instant,
 }
 
 #[derive(Debug)]
 struct PendingOutcome {
     from: InstanceId,
-    finished: Finished,
+    finished: AttemptFinished,
 }
 
 #[derive(Debug)]
@@ -94,7 +94,7 @@
         shard: Shard,
         fence: Fence,
         from: InstanceId,
-        claim: ClaimAsk,
+        claim: ClaimRequest,
     ) -> Option<Reply> {
         let held = self.shard(shard, fence);
         if held.pending.len() >= MAX_QUEUE {
@@ -333,7 +333,7 @@
             let done = !may_be_claimed && is_recorded(table, &outcome.finished);
             if done && !outcome.from.is_empty() {
                 let attempt = outcome.finished.attempt.clone();
-                let confirmation = Message::ClaimFinished(ClaimFinished { attempt });
+                let confirmation = Message::ClaimFinishAck(ClaimFinishAck { attempt });
                 replies.push((outcome.from.clone(), confirmation));
             }
             !done
@@ -364,7 +364,7 @@
         let attempts = claimed_attempts(&bodies);
         let record = |body| ClaimRecord {
             fence: self.fence,
-            written: wall_ms,
+            written_ms: wall_ms,
             body: Some(body),
         };
         let mut records: Vec<Vec<u8>> = bodies
@@ -401,16 +401,16 @@
                 return Vec::new();
             }
             self.opening = true;
-            return vec![ClaimBody::Opened(Opened {})];
+            return vec![ClaimBody::StreamOpened(StreamOpened {})];
         }
         let outcomes = self.outcomes.iter().take(MAX_GROUP);
         let mut bodies: Vec<ClaimBody> = outcomes
-            .map(|outcome| ClaimBody::Finished(outcome.finished.clone()))
+            .map(|outcome| ClaimBody::AttemptFinished(outcome.finished.clone()))
             .collect();
         let table = &self.table;
         let is_free = |waiting: &&PendingClaim| is_free(table, &waiting.claim);
         for waiting in self.pending.iter().filter(is_free).take(MAX_GROUP) {
-            bodies.push(ClaimBody::Claimed(Claimed {
+            bodies.push(ClaimBody::KeyClaimed(KeyClaimed {
                 key: waiting.claim.key.clone(),
                 body: waiting.claim.body.clone(),
                 attempt: waiting.claim.attempt.clone(),
@@ -459,9 +459,9 @@
 fn decide<F>(
     table: &ClaimTable,
     outcomes: &mut Vec<PendingOutcome>,
-    claim: &ClaimAsk,
+    claim: &ClaimRequest,
     has_ended: &F,
-) -> Option<(ClaimVerdict, Option<Finished>)>
+) -> Option<(ClaimVerdict, Option<AttemptFinished>)>
 where
     F: Fn(&str) -> bool,
 {
@@ -480,7 +480,7 @@
         }
         Verdict::Held(attempt) if has_ended(&attempt) => {
             // The process ended without reporting an outcome, so the outcome stays unknown.
-            let unknown = ClaimOutcome::NoAnswer(Ending::OutcomeUnknown).to_record(key, &attempt);
+            let unknown = ClaimOutcome::NoAnswer(RunOutcome::Unknown).to_record(key, &attempt);
             if !outcomes
                 .iter()
                 .any(|outcome| outcome.finished.attempt == attempt)
@@ -498,14 +498,14 @@
 
 // An outcome is recorded once its claim has an outcome, or no longer exists because the attempt
 // did not run.
-fn is_recorded(table: &ClaimTable, finished: &Finished) -> bool {
+fn is_recorded(table: &ClaimTable, finished: &AttemptFinished) -> bool {
     let Some(key) = BodyDigest::from_slice(&finished.key) else {
         return true;
     };
     !table.is_running(key, &finished.attempt)
 }
 
-fn is_free(table: &ClaimTable, claim: &ClaimAsk) -> bool {
+fn is_free(table: &ClaimTable, claim: &ClaimRequest) -> bool {
     let key = BodyDigest::from_slice(&claim.key);
     let body = BodyDigest::from_slice(&claim.body);
     let verdict = key
@@ -516,8 +516,8 @@
 
 fn claimed_attempts(bodies: &[ClaimBody]) -> Vec<String> {
     let attempt = |body: &ClaimBody| match body {
-        ClaimBody::Claimed(claimed) => Some(claimed.attempt.clone()),
-        ClaimBody::Opened(_) | ClaimBody::Finished(_) => None,
+        ClaimBody::KeyClaimed(claimed) => Some(claimed.attempt.clone()),
+        ClaimBody::StreamOpened(_) | ClaimBody::AttemptFinished(_) => None,
     };
     bodies.iter().filter_map(attempt).collect()
 }
@@ -534,7 +534,7 @@
     to: InstanceId,
     attempt: &str,
     verdict: ClaimVerdict,
-    finished: Option<Finished>,
+    finished: Option<AttemptFinished>,
 ) -> Reply {
     let reply = ClaimReply {
         attempt: attempt.to_owned(),
