--- a/crates/apricotwell_dispatch/src/backends.rs
+++ b/crates/apricotwell_dispatch/src/backends.rs
@@ -203,8 +203,9 @@
             .is_none_or(|server| server.expires_at.is_some() || server.entry != *entry)
     }
 
-    /// Marks a server as removed from the list; it is still used for the time `keep`, if there is
-    /// one.
+    /// Marks a server as removed from the list.
+    ///
+    /// It is still used for the time `keep`, if given, as its entry may come back after an outage.
     pub fn mark_removed(&mut self, now: Instant, id: &str, keep: Option<Duration>) {
         if let Some(server) = self.servers.get_mut(id) {
             server.expires_at = Some(now + keep.unwrap_or_default());
--- a/crates/apricotwell_dispatch/src/catalog.rs
+++ b/crates/apricotwell_dispatch/src/catalog.rs
@@ -147,7 +147,7 @@
     pub name: ServiceId,
     /// Capacity of its servers if they are model engines.
     pub engine: Option<EngineSpec>,
-    /// Maximum number of connections to one of its servers.
+    /// Maximum number of connections that one of its servers accepts.
     pub max_connections: u32,
 }
 
--- a/crates/apricotwell_dispatch/src/dispatcher.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher.rs
@@ -71,7 +71,7 @@
     pub arrived: Instant,
     /// When the request times out, by the client's timeout or the route's.
     pub deadline: Instant,
-    /// When the client times out unless it has received more of the response by then.
+    /// When the client times out unless it has received part of the response by then.
     pub silence_deadline: Instant,
     /// Model that the request asks for.
     pub requested_model: Option<RequestedModel>,
@@ -209,7 +209,7 @@
             });
         };
         let organisation = self.authenticate(now, &catalog, route, request)?;
-        let tokens = charge(request, organisation.as_deref());
+        let tokens = charged_tokens(request, organisation.as_deref());
         if let Some(organisation) = &organisation {
             self.spend(now, organisation, tokens)?;
         }
@@ -253,7 +253,7 @@
         }
         if !self.freshness.is_usable(now) {
             return Err(unavailable(
-                "the configuration is too old to verify API keys; try another instance",
+                "revoked API keys can't be distinguished from valid ones without the store; try another instance",
             ));
         }
         let organisation = request.key.and_then(|key| catalog.organisation_of(&key));
@@ -341,7 +341,7 @@
             .or_insert_with(|| RetryBudget::new(bounds))
     }
 
-    /// Removes instances and servers that timed out, and outdated inventories.
+    /// Removes unreachable instances, servers that left the list and outdated inventories.
     pub fn expire(&mut self, now: Instant) {
         for instance in self.peers.expire(now) {
             self.backends.remove_instance(&instance);
@@ -369,7 +369,7 @@
     }
 }
 
-fn charge(request: &RequestHead, organisation: Option<&Organisation>) -> Tokens {
+fn charged_tokens(request: &RequestHead, organisation: Option<&Organisation>) -> Tokens {
     let default = organisation.map_or(0, |organisation| organisation.default_tokens);
     request.max_tokens.unwrap_or(default)
 }
--- a/crates/apricotwell_dispatch/src/dispatcher/selection.rs
+++ b/crates/apricotwell_dispatch/src/dispatcher/selection.rs
@@ -33,8 +33,8 @@
 const PLAIN_MAX_LOAD: f64 = 3.0;
 /// Maximum requests in flight on a model engine, as a multiple of its slots.
 const ENGINE_MAX_LOAD: f64 = 1.0;
-/// Time that a model load takes besides the load itself: sending the order, unloading other models
-/// and reporting the result.
+/// Overhead of a model load: the time for sending the order, unloading other models and reporting
+/// the result.
 const LOAD_OVERHEAD: Duration = Duration::from_millis(300);
 /// Time before the client's timeout that is reserved for the response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(250);
@@ -107,7 +107,7 @@
             .map(|(_, server)| server)
     }
 
-    // Returns the delay in ms that a request is expected to meet at a server. Only the load that
+    // Returns the expected delay of a request on a server, in ms. Only the load that
     // this instance sent itself is known without lag, so it weighs most: if each instance spreads
     // its own requests evenly, the total is even too, and instances don't all follow the same
     // outdated view.
@@ -155,7 +155,7 @@
             return RoutingDecision::Wait;
         }
         RoutingDecision::Refuse(overloaded(
-            "the model is being loaded; retry when it is ready",
+            "the model can't be loaded in time for this request; retry when it is ready",
             load,
         ))
     }
--- a/crates/apricotwell_dispatch/src/feeds.rs
+++ b/crates/apricotwell_dispatch/src/feeds.rs
@@ -94,7 +94,7 @@
         self.retained_from = next;
     }
 
-    /// Retains a change of the server list that was read up to `next`.
+    /// Retains a change of the server list; `next` is the offset up to which the list is read with it.
     pub fn record_change(&mut self, next: Offset, change: &ServerListChange) {
         self.changes.push_back((next, encode_change(change)));
         if self.changes.len() > MAX_RETAINED_CHANGES
--- a/crates/apricotwell_dispatch/src/freshness.rs
+++ b/crates/apricotwell_dispatch/src/freshness.rs
@@ -9,7 +9,7 @@
 /// Share of the revocation bound up to which keys are accepted without a new read.
 const USABLE_SHARE: f64 = 0.8;
 /// Half of the age from which on a missing route or key may just have been added.
-const CURRENT_AGE: Duration = Duration::from_millis(1500);
+const HALF_CURRENT_AGE: Duration = Duration::from_millis(1500);
 /// Share of the revocation bound from which on clients are directed to other instances.
 const READY_SHARE: f64 = 0.6;
 
@@ -57,6 +57,6 @@
 
     /// Returns whether a route or key that is missing may be reported as unknown.
     pub fn is_current(&self, now: Instant) -> bool {
-        self.age(now).is_some_and(|age| age < CURRENT_AGE * 2)
+        self.age(now).is_some_and(|age| age < HALF_CURRENT_AGE * 2)
     }
 }
--- a/crates/apricotwell_dispatch/src/lease.rs
+++ b/crates/apricotwell_dispatch/src/lease.rs
@@ -9,7 +9,7 @@
 
 use apricotwell_types::Fence;
 
-/// End of the term that the holder doesn't use, to allow for late timers and orders in transit.
+/// Last part of the term, left unused by the holder to allow for late timers and orders in transit.
 const TERM_MARGIN: Duration = Duration::from_millis(300);
 /// Term of a holder that the store does not answer, if servers check fencing tokens: a server stops
 /// accepting its orders with the successor's first one.
@@ -146,8 +146,8 @@
             ClaimStatus::Unclaimed | ClaimStatus::Own => Duration::ZERO,
             ClaimStatus::Taken => self.config.handover_pause,
             // The group removes a holder one term after its last renewal, and its last order came
-            // at most one renewal gap after that. If it still runs without access to the store, the
-            // higher fencing token stops it.
+            // at most one renewal gap after that renewal. If it still runs without access to the
+            // store, the higher fencing token stops it.
             ClaimStatus::Dropped if self.config.fenced => (self.config.handover_pause
                 + self.config.max_renewal_gap)
                 .saturating_sub(self.config.term),
--- a/crates/apricotwell_dispatch/src/orders.rs
+++ b/crates/apricotwell_dispatch/src/orders.rs
@@ -114,7 +114,8 @@
 /// # Invariants
 ///
 /// At most one order is pending. `inventory` covers only what the server certainly holds: a pending
-/// load needs additional memory, and an unload frees none before the server has accepted it.
+/// load needs additional memory, the unload of a model frees none before the server has accepted it,
+/// and that of an adapter none before the server reports it.
 #[derive(Clone, Debug)]
 pub struct ServerOrders {
     started_ms: u64,
--- a/crates/apricotwell_dispatch/src/placement.rs
+++ b/crates/apricotwell_dispatch/src/placement.rs
@@ -42,7 +42,7 @@
 /// Share of a busy model's target replicas that is loaded before rarely used models with waiting
 /// requests.
 const SHORTAGE_SHARE: f64 = 0.6;
-/// Maximum number of unloaded models for which a server has the only copy and still prefetches others:
+/// Maximum number of models that no server holds and of which a prefetching server has the only copy:
 /// requests for those models wait while it fetches.
 const MAX_SOLE_COPIES: usize = 2;
 
@@ -167,7 +167,7 @@
         }
         let mut plan = Plan::new(now, engine, backends.usable(now, &service.name), demand);
         self.count_holders(&mut plan);
-        self.record_initial(&plan);
+        self.record_initial_replicas(&plan);
         self.start_planned_loads(&mut plan);
         self.plan_adapters(&mut plan);
         // A busy model with too few replicas delays more requests than a rare one that waits.
@@ -179,7 +179,7 @@
     }
 
     // Until request rates are known, the models with many replicas are taken to be the busy ones.
-    fn record_initial(&mut self, plan: &Plan<'_>) {
+    fn record_initial_replicas(&mut self, plan: &Plan<'_>) {
         if !self.initial_replicas.is_empty() || !self.all_reported(plan) {
             return;
         }
--- a/crates/apricotwell_dispatch/src/quota/window.rs
+++ b/crates/apricotwell_dispatch/src/quota/window.rs
@@ -8,7 +8,7 @@
 /// Share of the other instances that are assumed to admit a similar request before they receive a
 /// report of the current one.
 const CONCURRENT_SHARE: f64 = 0.25;
-/// Highest assumed request rate of an organisation, as a multiple of its limit.
+/// Highest rate at which an organisation is assumed to request tokens, as a multiple of its limit.
 const MAX_RATE_FACTOR: f64 = 8.0;
 /// Minimum delay until other instances receive a report of spending.
 const MIN_REPORT_LAG: Duration = Duration::from_millis(300);
@@ -36,7 +36,7 @@
     pub(super) reported_at: Instant,
     // Earliest time at which the next refused client should retry.
     pub(super) next_retry: Instant,
-    // Spending reported by other instances: start number and tokens since that start.
+    // Spending reported by other instances: their incarnation and the tokens since its start.
     pub(super) peer_spending: Map<InstanceId, (u64, Tokens)>,
 }
 
--- a/crates/apricotwell_dispatch/tests/dispatcher.rs
+++ b/crates/apricotwell_dispatch/tests/dispatcher.rs
@@ -286,7 +286,7 @@
     let kept = select_server(&mut dispatcher, now, "kept", "held");
     assert!(
         matches!(kept, RoutingDecision::Send(..)),
-        "a server removed during an outage is still used"
+        "its entry may come back after an outage"
     );
     let gone = now + Duration::from_secs(3);
     dispatcher.freshness.record_read(gone);
--- a/crates/apricotwell_dispatch/tests/engines/engines.rs
+++ b/crates/apricotwell_dispatch/tests/engines/engines.rs
@@ -25,7 +25,7 @@
 const WEIGHTS: f64 = 72_000.0;
 /// Longest delay of a late order.
 const MAX_ORDER_DELAY: Duration = Duration::from_secs(4);
-/// Models whose weights fit into a server's main memory besides those that it runs.
+/// Models whose weights fit into a server's main memory in addition to those that it runs.
 const MEMORY_COPIES: usize = 2;
 
 /// Size of a deployment.
--- a/crates/apricotwell_dispatch/tests/placing.rs
+++ b/crates/apricotwell_dispatch/tests/placing.rs
@@ -11,7 +11,7 @@
 use apricotwell_messages::ServerInventory;
 use engines::{Engines, Setup};
 
-/// Target for requests for rare models, from arrival until a server holds the model.
+/// Target for requests for rare models, from arrival until they can be sent to a server.
 const RARE_TARGET: Duration = Duration::from_millis(3800);
 /// Time of one fetch from the weight store, plus the time to detect that a server was emptied.
 const FETCH_TARGET: Duration = Duration::from_millis(8700 + 1500);
--- a/crates/apricotwell_dispatch/tests/retries.rs
+++ b/crates/apricotwell_dispatch/tests/retries.rs
@@ -14,15 +14,15 @@
 #[test]
 fn a_retry_storm_over_all_instances_stays_within_the_bounds() {
     let now = Instant::now();
-    let mut windows: Vec<RetryBudget> = (0..INSTANCES).map(|_| RetryBudget::new(BOUNDS)).collect();
+    let mut budgets: Vec<RetryBudget> = (0..INSTANCES).map(|_| RetryBudget::new(BOUNDS)).collect();
     let (mut requests, mut retries) = (0, 0);
     for second in 0..10 {
         let at = now + Duration::from_secs(second);
-        for window in &mut windows {
+        for budget in &mut budgets {
             for _ in 0..20 {
-                window.record_request(at);
+                budget.record_request(at);
                 requests += 1;
-                retries += u32::from(window.try_take(at, INSTANCES));
+                retries += u32::from(budget.try_take(at, INSTANCES));
             }
         }
     }
@@ -34,8 +34,8 @@
 #[test]
 fn retries_leave_the_window() {
     let now = Instant::now();
-    let mut window = RetryBudget::new(BOUNDS);
-    while window.try_take(now, INSTANCES) {}
-    assert!(!window.try_take(now + BOUNDS.window, INSTANCES));
-    assert!(window.try_take(now + BOUNDS.window * 2, INSTANCES));
+    let mut budget = RetryBudget::new(BOUNDS);
+    while budget.try_take(now, INSTANCES) {}
+    assert!(!budget.try_take(now + BOUNDS.window, INSTANCES));
+    assert!(budget.try_take(now + BOUNDS.window * 2, INSTANCES));
 }
