--- a/crates/apricotwell_entry/tests/sessions.rs
+++ b/crates/apricotwell_entry/tests/sessions.rs
@@ -157,9 +157,9 @@
     let long = chat(true).replace("\"max_tokens\":3", "\"max_tokens\":2000");
     let answer = std::thread::scope(|scope| {
         let stream = scope.spawn(|| fleet.chat(0, "hadegisbru", &long));
-        fleet.wait_until("the stream runs", |fleet| {
-            let metrics = fleet.get(0, "/metrics").body;
-            metrics.contains("apricotwell_open_requests 1")
+        // An open request that the engine does not have yet is correctly refused as `not_run`.
+        fleet.wait_until("the engine runs the stream", |fleet| {
+            fleet.audit(fleet.engine(0))["requests"] == 2
         });
         fleet.signal(0, "TERM");
         fleet.wait_until("the instance drains", |fleet| {
