--- a/crates/apricotwell_entry/tests/sessions.rs
+++ b/crates/apricotwell_entry/tests/sessions.rs
@@ -179,6 +179,30 @@
     assert!(is_reported, "{}", answer.body);
 }
 
+#[test]
+fn a_second_signal_refuses_running_requests_with_an_unknown_outcome() {
+    let fleet = LocalFleet::start(options("second-signal-running"));
+    assert_eq!(fleet.chat(0, "hadegisbru", &chat(false)).status, 200);
+    // The engine takes the request and never answers, so the refusal comes before any event.
+    fleet.fault(fleet.engine(0), r#"{"silent":1}"#);
+    let answer = std::thread::scope(|scope| {
+        let running = scope.spawn(|| fleet.chat(0, "hadegisbru", &chat(true)));
+        fleet.wait_until("the engine runs the request", |fleet| {
+            fleet.audit(fleet.engine(0))["requests"] == 2
+        });
+        fleet.signal(0, "TERM");
+        fleet.wait_until("the instance drains", |fleet| {
+            fleet.get(0, "/readyz").status == 503
+        });
+        fleet.signal(0, "TERM");
+        running.join()
+    });
+    let answer = answer.expect("a response");
+    assert_eq!(answer.status, 503, "{answer:?}");
+    let is_reported = answer.body.contains("\"outcome\":\"outcome_unknown\"");
+    assert!(is_reported, "{}", answer.body);
+}
+
 #[test]
 fn a_second_signal_refuses_waiting_requests_as_not_run() {
     let mut options = options("second-signal-waiting");
