--- a/crates/apricotwell_node/src/node/idempotency.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -66,12 +66,13 @@
             .with_retry_after(BUSY_RETRY_DELAY),
             ClaimResult::Ended(ending) => Refusal::not_run(
                 RefusalKind::BackendFailed,
-                "a request with this Idempotency-Key ended without an answer and is not run again",
+                "a request with this Idempotency-Key ended without an answer and will not run \
+                 again",
             )
             .with_outcome(ending),
             ClaimResult::OtherBody => Refusal::not_run(
                 RefusalKind::IdempotencyKeyReused,
-                "this Idempotency-Key came before with another body; use a new key",
+                "this Idempotency-Key was already used with a different body; use a new key",
             ),
             ClaimResult::Unavailable => {
                 let attempt = request.attempt.clone();
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -185,7 +185,8 @@
         };
         if submission.cost() > org.burst {
             let message = format!(
-                "prompt and max_tokens come to {} tokens, above your burst of {}; lower max_tokens",
+                "prompt and max_tokens add up to {} tokens, above your burst of {}; lower \
+                 max_tokens",
                 submission.cost(),
                 org.burst
             );
