--- a/crates/apricotwell_fakes/examples/slopes.rs
+++ b/crates/apricotwell_fakes/examples/slopes.rs
@@ -1,4 +1,4 @@
-//! Measures the slopes that `docs/CAPACITY.md` works with.
+//! Measures how the cost of operations grows with the size of the fleet, for `docs/CAPACITY.md`.
 //!
 //! Prints one line per measurement. Run it with `cargo run --release --example slopes`.
 
@@ -7,7 +7,7 @@
 
 use apricotwell_admission::{FairQueue, QueuedRequest};
 use apricotwell_claims::{BodyDigest, ClaimTable};
-use apricotwell_fakes::{World, WorldOptions};
+use apricotwell_fakes::{Simulation, SimulationOptions};
 use apricotwell_limits::{Bucket, Escrow, Rate};
 use apricotwell_placement::{DemandTable, ModelUsage, PlacementPlanner, PlacementView, ServerView};
 use apricotwell_records::{
@@ -30,56 +30,58 @@
     claims();
 }
 
-// Bytes, messages and processor time of a settled fleet, per daemon and second.
+// Measures bytes, messages and CPU time of a settled fleet, per daemon and second, and the time of
+// a failover.
 fn members() {
     for instances in [9, 30, 90, 180] {
-        let mut world = World::new(WorldOptions {
+        let mut sim = Simulation::new(SimulationOptions {
             instances,
             shards: 64,
-            ..WorldOptions::default()
+            ..SimulationOptions::default()
         });
         let settle = Duration::from_secs(if instances > 100 { 20 } else { 12 });
-        world.run_for(settle);
-        let (bytes, messages) = (world.bytes_sent, world.messages);
-        let appends = world.log.appends;
+        sim.run_for(settle);
+        let (bytes, messages) = (sim.bytes_sent, sim.messages);
+        let appends = sim.log.appends;
         let virtual_seconds = 5;
         let began = Instant::now();
-        world.run_for(Duration::from_secs(virtual_seconds));
+        sim.run_for(Duration::from_secs(virtual_seconds));
         let cpu = began.elapsed();
         let per = |value: u64| value as f64 / (instances as u64 * virtual_seconds) as f64;
         println!(
             "members {instances}: {:.0} bytes/s {:.1} messages/s {:.3} appends/s {:.2} ms cpu/s per daemon",
-            per(world.bytes_sent - bytes),
-            per(world.messages - messages),
-            per(world.log.appends - appends),
+            per(sim.bytes_sent - bytes),
+            per(sim.messages - messages),
+            per(sim.log.appends - appends),
             cpu.as_secs_f64() * 1000.0 / (instances as u64 * virtual_seconds) as f64,
         );
     }
     for instances in [9, 30, 90] {
-        let mut world = World::new(WorldOptions {
+        let mut sim = Simulation::new(SimulationOptions {
             instances,
             shards: 64,
-            ..WorldOptions::default()
+            ..SimulationOptions::default()
         });
-        world.run_for(Duration::from_secs(12));
-        let killed = world.elapsed();
-        world.kill("entry-2");
-        let settled = world.run_until(Duration::from_secs(30), World::is_settled);
-        let took = (world.elapsed() - killed).as_secs_f64();
+        sim.run_for(Duration::from_secs(12));
+        let killed = sim.elapsed();
+        sim.kill("entry-2");
+        let settled = sim.run_until(Duration::from_secs(30), Simulation::is_settled);
+        let took = (sim.elapsed() - killed).as_secs_f64();
         println!("failover {instances}: all shards held again {settled} after {took:.2} s");
     }
 }
 
-struct Built {
+// State of a fleet, with the number and size of the records that it was built from.
+struct FleetState {
     state: State,
     record_bytes: u64,
     records: u64,
 }
 
-// A fleet's state with servers, models and loaded adapters.
-fn build(servers: usize, models: usize, adapters: usize, loaded: usize) -> Built {
+// Builds the state of a fleet with servers, models and loaded adapters.
+fn build(servers: usize, models: usize, adapters: usize, loaded: usize) -> FleetState {
     let root = OperatorKey::from_seed([1; 32]);
-    let mut built = Built {
+    let mut fleet = FleetState {
         state: State::new(Genesis {
             root_key: root.public_hex(),
             shards: 1024,
@@ -89,7 +91,7 @@
     };
     let mut sequence = 0;
     put(
-        &mut built,
+        &mut fleet,
         &root,
         "/platform/pools/p",
         "kind = \"engine\"\nmemory_mib = 1000000\nslots = 8\n",
@@ -97,7 +99,7 @@
     for index in 0..models {
         let text = "version = \"1\"\nmemory_mib = 1000\npool = \"p\"\nmax_replicas = 8\n";
         put(
-            &mut built,
+            &mut fleet,
             &root,
             &format!("/platform/models/m{index}"),
             text,
@@ -109,27 +111,27 @@
             index % models
         );
         put(
-            &mut built,
+            &mut fleet,
             &root,
             &format!("/teams/o{}/adapters/a{index}", index % 200),
             &text,
         );
     }
-    let mut write = |built: &mut Built, body| {
+    let mut write = |fleet: &mut FleetState, body| {
         sequence += 1;
         let record = Record::new("entry-1", 1_796_337_954_803_960, sequence, body);
-        apply(built, &record)
+        apply(fleet, &record)
     };
-    let take = AcquireLeases {
+    let acquire = AcquireLeases {
         shards: (0..1024).collect(),
         fences: vec![0; 1024],
         holder: "entry-1".to_owned(),
         incarnation: 1_796_337_954_803_960,
     };
-    let fence = write(&mut built, Body::AcquireLeases(take));
+    let fence = write(&mut fleet, Body::AcquireLeases(acquire));
     for index in 0..servers {
         write(
-            &mut built,
+            &mut fleet,
             Body::ServerUp(ServerUp {
                 server: format!("s{index}"),
                 incarnation: 1_796_337_954_803,
@@ -142,7 +144,7 @@
     }
     for index in 0..models.min(servers) {
         load(
-            &mut built,
+            &mut fleet,
             &mut write,
             format!("m{index}"),
             index % servers,
@@ -155,14 +157,14 @@
     {
         let base = index % models;
         let model = format!("m{base}:o{}/a{index}", index % 200);
-        load(&mut built, &mut write, model, base, fence);
+        load(&mut fleet, &mut write, model, base, fence);
     }
-    built
+    fleet
 }
 
-fn load<F>(built: &mut Built, write: &mut F, model: String, server: usize, fence: u64)
+fn load<F>(fleet: &mut FleetState, write: &mut F, model: String, server: usize, fence: u64)
 where
-    F: FnMut(&mut Built, Body) -> u64,
+    F: FnMut(&mut FleetState, Body) -> u64,
 {
     let decide = DecideLoad {
         model,
@@ -171,10 +173,10 @@
         incarnation: 1_796_337_954_803,
         fence,
     };
-    let replica = write(built, Body::DecideLoad(decide));
+    let replica = write(fleet, Body::DecideLoad(decide));
     let outcome = SettleOutcome::Loaded as i32;
     write(
-        built,
+        fleet,
         Body::SettleReplica(SettleReplica {
             replica,
             fence,
@@ -183,7 +185,7 @@
     );
 }
 
-fn put(built: &mut Built, root: &OperatorKey, path: &str, text: &str) {
+fn put(fleet: &mut FleetState, root: &OperatorKey, path: &str, text: &str) {
     let mut put = PutConfig {
         path: path.to_owned(),
         expected: 0,
@@ -192,15 +194,15 @@
         signature: Vec::new(),
     };
     root.sign("root", &mut put);
-    apply(built, &Record::new("root", 0, 0, Body::PutConfig(put)));
+    apply(fleet, &Record::new("root", 0, 0, Body::PutConfig(put)));
 }
 
-fn apply(built: &mut Built, record: &Record) -> u64 {
-    let offset = built.state.next();
+fn apply(fleet: &mut FleetState, record: &Record) -> u64 {
+    let offset = fleet.state.next();
     let bytes = record.to_bytes();
-    built.records += 1;
-    built.record_bytes += bytes.len() as u64;
-    if let Err(reason) = built.state.apply_bytes(offset, &bytes) {
+    fleet.records += 1;
+    fleet.record_bytes += bytes.len() as u64;
+    if let Err(reason) = fleet.state.apply_bytes(offset, &bytes) {
         println!("unexpected rejection: {reason} of {record:?}");
     }
     offset
@@ -224,22 +226,22 @@
     ] {
         let before = resident_mib();
         let began = Instant::now();
-        let built = build(servers, models, adapters, loaded);
+        let fleet = build(servers, models, adapters, loaded);
         let fold = began.elapsed();
         let memory = resident_mib() - before;
         let began = Instant::now();
-        let chunks = chunk_checkpoint(&built.state, "entry-1", 1);
+        let chunks = chunk_checkpoint(&fleet.state, "entry-1", 1);
         let write = began.elapsed();
         let bytes: Vec<u8> = chunks.into_iter().flat_map(|chunk| chunk.bytes).collect();
         let began = Instant::now();
-        let restored = restore_checkpoint(&bytes, built.state.genesis()).is_ok();
+        let restored = restore_checkpoint(&bytes, fleet.state.genesis()).is_ok();
         println!(
             "state {servers} servers {models} models {adapters} adapters {loaded} loaded: {memory:.0} MiB, \
              {} records {:.0} bytes each, fold {:.1} us each, checkpoint {} bytes written in {:.0} ms \
              restored {restored} in {:.0} ms",
-            built.records,
-            built.record_bytes as f64 / built.records as f64,
-            fold.as_secs_f64() * 1e6 / built.records as f64,
+            fleet.records,
+            fleet.record_bytes as f64 / fleet.records as f64,
+            fold.as_secs_f64() * 1e6 / fleet.records as f64,
             bytes.len(),
             write.as_secs_f64() * 1000.0,
             began.elapsed().as_secs_f64() * 1000.0,
@@ -247,25 +249,25 @@
     }
 }
 
-// One plan with a few models that want loads, against the size of the ledger.
+// Measures one plan with four models that need loads, by the number of servers and replicas.
 fn plan() {
     for (servers, models, adapters, loaded) in [
         (27, 100, 110, 100),
         (500, 200, 5_000, 1_000),
         (5_100, 990, 52_000, 13_500),
     ] {
-        let built = build(servers, models, adapters, loaded);
+        let fleet = build(servers, models, adapters, loaded);
         let now = Instant::now();
         let mut demand = DemandTable::new(Duration::from_secs(60));
         for index in 0..4 {
-            let told = ModelUsage {
+            let usage = ModelUsage {
                 waiting: 1,
                 running: 0,
                 deadline: now + Duration::from_secs(5),
             };
-            demand.record_usage(now, &format!("m{}", models - 1 - index), "entry-1", told);
+            demand.record_usage(now, &format!("m{}", models - 1 - index), "entry-1", usage);
         }
-        let views = built.state.ledger().servers();
+        let views = fleet.state.ledger().servers();
         let servers = views
             .map(|(id, _)| {
                 (
@@ -279,14 +281,14 @@
             .collect();
         let stuck = Set::default();
         let view = PlacementView {
-            state: &built.state,
+            state: &fleet.state,
             demand: &demand,
             servers: &servers,
             stuck: &stuck,
         };
-        // The shards that one of 410 daemons holds.
+        // Returns a fencing token for the shards that one of 410 daemons holds.
         let fence_of = |model: &str| {
-            built
+            fleet
                 .state
                 .model_shard(model)
                 .is_multiple_of(410)
@@ -305,7 +307,7 @@
     }
 }
 
-fn each(name: &str, count: u32, mut run: impl FnMut(u32)) {
+fn measure(name: &str, count: u32, mut run: impl FnMut(u32)) {
     let began = Instant::now();
     for index in 0..count {
         run(index);
@@ -326,7 +328,7 @@
                 ready_at: now,
             })
             .collect();
-        each(&format!("route among {servers} servers"), 20_000, |index| {
+        measure(&format!("route among {servers} servers"), 20_000, |index| {
             if let Some(server) =
                 router.select_server(now, &candidates, Some(u64::from(index % 100)))
             {
@@ -352,7 +354,7 @@
         for request in 0..waiting {
             let _ = queue.push(entry(request), 1, usize::MAX);
         }
-        each(
+        measure(
             &format!("queue push and pop, {orgs} organisations {waiting} waiting"),
             20_000,
             |index| {
@@ -374,7 +376,7 @@
     if let Some(grant) = bucket.grant(now, "entry-1", 500_000_000_000) {
         escrow.add(now, grant);
     }
-    each("tokens taken from escrow", 200_000, |_| {
+    measure("tokens taken from escrow", 200_000, |_| {
         black_box(escrow.take(now, 100));
         escrow.settle(100, 40);
     });
@@ -383,7 +385,7 @@
         let names: Vec<String> = (0..instances)
             .map(|index| format!("entry-{index}"))
             .collect();
-        each(
+        measure(
             &format!("bucket asked by {instances} instances"),
             20_000,
             |index| {
@@ -405,7 +407,7 @@
             key[..4].copy_from_slice(&index.to_le_bytes());
             key
         };
-        each(&format!("claim applied up to {claims}"), claims, |index| {
+        measure(&format!("claim applied up to {claims}"), claims, |index| {
             let claimed = Claimed {
                 key: key(index).to_vec(),
                 body: vec![1; 16],
@@ -419,7 +421,7 @@
             bytes += record.to_bytes().len();
             table.apply(u64::from(index) + 1, &record);
         });
-        each(&format!("claim verdict among {claims}"), 20_000, |index| {
+        measure(&format!("claim verdict among {claims}"), 20_000, |index| {
             black_box(table.verdict(BodyDigest(key(index % claims)), BodyDigest([1; 16]), "x"));
         });
         println!(
--- a/crates/apricotwell_fakes/src/lib.rs
+++ b/crates/apricotwell_fakes/src/lib.rs
@@ -1,27 +1,31 @@
-//! Fakes of log, engines and network in virtual time.
+//! Deterministic simulation of nodes, the log, engines and the network in virtual time.
 //!
-//! A [`World`] drives many nodes by their actions alone. Every run with the same seed and script
-//! is the same to the microsecond. After each step the world checks the invariants that must hold
-//! at all times and records what was broken.
+//! A [`Simulation`] drives many nodes and executes the actions that they return. Two runs with the
+//! same seed and script give the same result to the microsecond. After each event, the simulation
+//! checks the invariants that must hold at all times, and records each violation.
 //!
 //! # Examples
 //!
 //! ```
 //! use std::time::Duration;
-//! use apricotwell_fakes::{World, WorldOptions};
+//! use apricotwell_fakes::{Simulation, SimulationOptions};
 //!
-//! let mut world = World::new(WorldOptions { instances: 3, engines: 1, ..WorldOptions::default() });
-//! world.run_for(Duration::from_secs(5));
-//! assert!(world.is_settled());
-//! assert_eq!(world.broken(), Vec::<String>::new());
+//! let mut sim = Simulation::new(SimulationOptions {
+//!     instances: 3,
+//!     engines: 1,
+//!     ..SimulationOptions::default()
+//! });
+//! sim.run_for(Duration::from_secs(5));
+//! assert!(sim.is_settled());
+//! assert_eq!(sim.violations(), Vec::<String>::new());
 //! ```
 
-mod audit;
 mod engine;
+mod history;
 mod log;
-mod world;
+mod simulation;
 
-pub use audit::{Audit, Finish, Spent};
-pub use engine::{EngineAudit, EngineState, Refused};
+pub use engine::{EngineState, EngineStats, OrderError};
+pub use history::{CallOutcome, History, TokenUse};
 pub use log::LogStreams;
-pub use world::{Call, FakeLog, World, WorldOptions};
+pub use simulation::{Call, FakeLog, Simulation, SimulationOptions};
--- a/crates/apricotwell_fakes/src/log.rs
+++ b/crates/apricotwell_fakes/src/log.rs
@@ -1,12 +1,12 @@
-//! Streams of the log, in memory.
+//! In-memory streams of the log.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use apricotwell_records::{LogBatch, ReadError};
 use apricotwell_types::Offset;
 
-/// Records in one answer.
-const MAX_SLICE: usize = 1000;
+/// Maximum number of records in one read.
+const MAX_BATCH: usize = 1000;
 
 #[derive(Debug)]
 struct Stream {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Append-only streams with offsets from 1.
+/// Append-only streams of records, by name. Offsets start at 1.
 #[derive(Debug, Default)]
 pub struct LogStreams {
     streams: BTreeMap<String, Stream>,
@@ -38,11 +38,12 @@
         first
     }
 
-    /// Returns records from `from` on.
+    /// Returns a batch of records, starting at offset `from`.
     ///
     /// # Errors
     ///
-    /// Fails with the first offset kept when `from` has been dropped.
+    /// Returns [`ReadError::Expired`] with the first retained offset if the record at `from` has
+    /// been dropped.
     pub fn read(&self, stream: &str, from: Offset) -> Result<LogBatch, ReadError> {
         let from = from.max(1);
         let Some(stream) = self.streams.get(stream) else {
@@ -56,7 +57,7 @@
             return Err(ReadError::Expired(stream.first));
         }
         let skip = (from - stream.first) as usize;
-        let records = stream.records.iter().skip(skip).take(MAX_SLICE);
+        let records = stream.records.iter().skip(skip).take(MAX_BATCH);
         Ok(LogBatch {
             first: from,
             records: records.cloned().collect(),
@@ -70,7 +71,7 @@
         stream.map_or(1, |stream| stream.first + stream.records.len() as Offset)
     }
 
-    /// Drops the records before `first`.
+    /// Drops the records before offset `first`.
     pub fn expire(&mut self, stream: &str, first: Offset) {
         let stream = self.streams.entry(stream.to_owned()).or_default();
         while stream.first < first && stream.records.pop_front().is_some() {
--- a/crates/apricotwell_fakes/src/world.rs
+++ b/crates/apricotwell_fakes/src/simulation.rs
@@ -1,8 +1,8 @@
-//! Many nodes in virtual time.
+//! Simulation of many nodes in virtual time.
 
+mod events;
 mod faults;
-mod script;
-mod steps;
+mod operations;
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::time::{Duration, Instant};
@@ -24,47 +24,47 @@
 use apricotwell_timeline::Event;
 use apricotwell_types::{BodyDigest, KeyDigest, RequestId, ServerId, Tokens, WorkClass, shard_of};
 
-use crate::audit::{Audit, Finish, Spent};
 use crate::engine::EngineState;
+use crate::history::{CallOutcome, History, TokenUse};
 use crate::log::LogStreams;
 
-/// Time between two ticks of a node.
+/// Period of the nodes' ticks.
 const TICK: Duration = Duration::from_millis(25);
-/// Time between two looks at who would act on which shard.
+/// Period of the check that no shard has two holders.
 const CHECK_PERIOD: Duration = Duration::from_millis(5);
-/// Longest wait of one read of the log.
+/// Maximum wait of one read of the log.
 const READ_WAIT: Duration = Duration::from_millis(500);
-/// Time after which an append without an answer counts as unknown.
+/// Time after which the outcome of an append without a reply is reported as unknown.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a world begins with.
+/// Options of a simulation.
 #[derive(Clone, Debug)]
-pub struct WorldOptions {
-    /// Seed of everything random.
+pub struct SimulationOptions {
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Entry instances.
+    /// Number of entry instances.
     pub instances: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub services: usize,
-    /// Whether engines refuse old fencing numbers.
+    /// Whether engines reject orders with a stale fencing token.
     pub fencing: bool,
-    /// Memory of an engine in MiB.
-    pub memory: u64,
-    /// Time of a load.
-    pub load: Duration,
-    /// Time of a request.
-    pub run: Duration,
-    /// Duty shards.
+    /// Memory of each engine, in MiB.
+    pub memory_mib: u64,
+    /// Duration of a model load.
+    pub load_time: Duration,
+    /// Duration of a request on a server.
+    pub request_time: Duration,
+    /// Number of shards that instances lease.
     pub shards: u32,
-    /// Records after which a checkpoint is written.
+    /// Number of records after which a checkpoint is written.
     pub checkpoint_records: u64,
-    /// How long the log keeps records.
+    /// Time for which the log retains records.
     pub retention: Duration,
 }
 
-impl Default for WorldOptions {
+impl Default for SimulationOptions {
     fn default() -> Self {
         Self {
             seed: 1,
@@ -72,9 +72,9 @@
             engines: 2,
             services: 1,
             fencing: true,
-            memory: 1000,
-            load: Duration::from_millis(300),
-            run: Duration::from_millis(50),
+            memory_mib: 1000,
+            load_time: Duration::from_millis(300),
+            request_time: Duration::from_millis(50),
             shards: 8,
             checkpoint_records: 1_000_000,
             retention: Duration::from_secs(24 * 3600),
@@ -82,35 +82,36 @@
     }
 }
 
-/// A caller's request.
+/// Request from a client.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Organisation.
+    /// Organisation that sends the request.
     pub org: String,
-    /// Model, or the pool of a plain service behind `service `.
+    /// Name of the model, or `service ` followed by the pool of a plain service.
     pub target: String,
-    /// Class.
+    /// Work class.
     pub class: WorkClass,
-    /// Time until the deadline.
-    pub patience: Duration,
-    /// Tokens reserved.
+    /// Time from sending to the deadline.
+    pub timeout: Duration,
+    /// Number of tokens reserved at admission.
     pub reserved: Tokens,
-    /// Tokens that it turns out to use.
+    /// Number of tokens that the run uses.
     pub used: Tokens,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Body.
+    /// Request body. `crash` in it makes the engine crash during the run, and `lost answer` makes
+    /// the connection break before the answer.
     pub body: String,
 }
 
 impl Call {
-    /// Returns a chat request for a model.
+    /// Creates a chat request for a model.
     pub fn chat(org: &str, model: &str) -> Self {
         Self {
             org: org.to_owned(),
             target: model.to_owned(),
             class: WorkClass::SoftDeadline,
-            patience: Duration::from_secs(10),
+            timeout: Duration::from_secs(10),
             reserved: 100,
             used: 40,
             key: None,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Returns an order to a plain service.
+    /// Creates a non-idempotent request to a plain service.
     pub fn order(org: &str, pool: &str, key: &str) -> Self {
         Self {
             class: WorkClass::NonIdempotent,
@@ -129,27 +130,28 @@
     }
 }
 
-/// The log with its faults.
+/// Simulated log with injected faults.
 #[derive(Debug, Default)]
 pub struct FakeLog {
-    /// Streams.
+    /// Streams of records.
     pub streams: LogStreams,
     /// Whether appends and reads fail.
     pub down: bool,
-    /// Number of appends that take effect without an answer.
+    /// Number of upcoming appends that take effect but whose reply is lost.
     pub lose_replies: u32,
-    /// Time that each append takes to reach the log, whatever becomes of its process meanwhile.
-    pub delay: Duration,
-    /// Appends taken.
+    /// Delay until an append reaches the log, even if its process ends before. While it isn't zero,
+    /// the outcome of each append is reported as unknown.
+    pub append_delay: Duration,
+    /// Number of appends accepted without a delay.
     pub appends: u64,
-    /// Bytes read by all nodes.
+    /// Number of bytes that all nodes have read.
     pub bytes_read: u64,
-    // When which records are dropped.
-    ages: VecDeque<(Instant, String, u64)>,
+    // Time of expiry, stream, and the offset before which records expire.
+    expiries: VecDeque<(Instant, String, u64)>,
 }
 
 #[derive(Debug)]
-enum Step {
+enum ProcessEvent {
     Tick,
     Read,
     ReadDone(Instant, Result<LogBatch, ReadError>),
@@ -164,48 +166,55 @@
 }
 
 #[derive(Debug)]
-enum Happening {
-    // Something that a process does; waits while the process is paused.
-    At(String, u64, Step),
-    // An order reaches an engine, from a process that may be gone by then.
+enum SimEvent {
+    // Event of a process, with the process's name and generation; deferred while it is paused.
+    Process(String, u64, ProcessEvent),
+    // Arrival of an order at an engine. The process that sent it may have ended.
+    // Fields: sender, ticket, server, order, generation of the sender.
     Order(String, u64, ServerId, EngineOrder, u64),
+    // End of a load. Fields: server, incarnation, replica.
     Loaded(ServerId, u64, u64),
-    // Records reach the log late.
+    // Delayed arrival of records at the log.
     Append(String, Vec<Vec<u8>>),
 }
 
-struct Queued {
+struct Scheduled {
     at: Instant,
-    number: u64,
-    what: Happening,
+    // Order of events that fall due at the same time.
+    sequence: u64,
+    event: SimEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Queued {}
+impl Eq for Scheduled {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        // Reversed, because `BinaryHeap` is a max-heap and the earliest event comes first.
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
 struct Host {
     node: Node,
-    life: u64,
+    // Number of the process start; events for an earlier start are discarded.
+    generation: u64,
     paused: bool,
-    held: Vec<Step>,
-    log_cut: bool,
+    // Events that arrived while the process was paused.
+    deferred: Vec<ProcessEvent>,
+    log_partitioned: bool,
+    // Call numbers of the open requests.
     calls: BTreeMap<RequestId, u64>,
 }
 
@@ -213,105 +222,107 @@
     state: EngineState,
     alive: bool,
     fencing: bool,
-    // Orders that it has taken and whose answers are lost.
+    // Number of upcoming orders whose replies are lost.
     lose_replies: u32,
     leaving: bool,
-    // Whether it can't be reached, though it runs.
-    silent: bool,
+    // Whether the engine is unreachable, although it runs.
+    unreachable: bool,
 }
 
 impl Engine {
-    fn answers(&self) -> bool {
-        self.alive && !self.silent
+    fn is_reachable(&self) -> bool {
+        self.alive && !self.unreachable
     }
 }
 
-/// Many nodes, a log, engines and a network in virtual time.
-pub struct World {
-    options: WorldOptions,
+/// Deterministic simulation of nodes, a log, engines and a network in virtual time.
+pub struct Simulation {
+    options: SimulationOptions,
     start: Instant,
     now: Instant,
     random: StdRng,
-    queue: BinaryHeap<Queued>,
-    last_number: u64,
+    queue: BinaryHeap<Scheduled>,
+    last_sequence: u64,
     last_call: u64,
-    last_life: u64,
+    last_generation: u64,
     hosts: BTreeMap<String, Host>,
     engines: BTreeMap<String, Engine>,
     calls: BTreeMap<u64, Call>,
-    cuts: BTreeSet<(String, String)>,
-    root: OperatorKey,
+    // Pairs of sender and receiver between which messages are dropped.
+    partitions: BTreeSet<(String, String)>,
+    root_key: OperatorKey,
+    // Instances on the platform's list.
     listed: BTreeSet<String>,
     next_check: Instant,
-    /// Delay of each order between its last check and its arrival.
+    /// Additional delay of each order between its last validity check and its arrival.
     pub order_delay: Duration,
-    /// The log.
+    /// Simulated log.
     pub log: FakeLog,
-    /// What happened.
-    pub audit: Audit,
-    /// Bytes sent between nodes.
+    /// History of the simulation.
+    pub history: History,
+    /// Number of bytes sent between nodes.
     pub bytes_sent: u64,
-    /// Messages sent between nodes.
+    /// Number of messages sent between nodes.
     pub messages: u64,
     events: Vec<Event>,
 }
 
-impl World {
-    /// Returns a world whose processes have just started.
-    pub fn new(options: WorldOptions) -> Self {
+impl Simulation {
+    /// Creates a simulation whose processes have just started.
+    pub fn new(options: SimulationOptions) -> Self {
         let start = Instant::now();
-        let mut world = Self {
+        let mut simulation = Self {
             start,
             now: start,
             random: StdRng::seed_from_u64(options.seed),
             queue: BinaryHeap::new(),
-            last_number: 0,
+            last_sequence: 0,
             last_call: 0,
-            last_life: 0,
+            last_generation: 0,
             hosts: BTreeMap::new(),
             engines: BTreeMap::new(),
             calls: BTreeMap::new(),
-            cuts: BTreeSet::new(),
-            root: OperatorKey::from_seed([7; 32]),
+            partitions: BTreeSet::new(),
+            root_key: OperatorKey::from_seed([7; 32]),
             listed: BTreeSet::new(),
             next_check: start,
             order_delay: Duration::ZERO,
             log: FakeLog::default(),
-            audit: Audit::default(),
+            history: History::default(),
             bytes_sent: 0,
             messages: 0,
             events: Vec::new(),
             options,
         };
-        for index in 1..=world.options.engines {
-            world.start_engine(&format!("engine-{index}"));
+        for index in 1..=simulation.options.engines {
+            simulation.start_engine(&format!("engine-{index}"));
         }
-        for index in 1..=world.options.instances {
+        for index in 1..=simulation.options.instances {
             let name = format!("entry-{index}");
-            world.listed.insert(name.clone());
+            simulation.listed.insert(name.clone());
         }
-        for index in 1..=world.options.instances {
-            world.start_instance(&format!("entry-{index}"));
+        for index in 1..=simulation.options.instances {
+            simulation.start_instance(&format!("entry-{index}"));
         }
-        world
+        simulation
     }
 
-    /// Returns the time since the world began.
+    /// Returns the virtual time since the start of the simulation.
     pub fn elapsed(&self) -> Duration {
         self.now - self.start
     }
 
-    /// Returns the present time.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    /// Returns the invariants that were broken.
-    pub fn broken(&self) -> Vec<String> {
-        self.audit.broken().to_vec()
+    /// Returns a description of each violation of an invariant.
+    pub fn violations(&self) -> Vec<String> {
+        self.history.violations().to_vec()
     }
 
-    /// Returns the events of all nodes.
+    /// Returns the events that all nodes have emitted.
     pub fn events(&self) -> &[Event] {
         &self.events
     }
@@ -320,26 +331,26 @@
     ///
     /// # Panics
     ///
-    /// Panics when the instance does not run: the test's script is wrong.
+    /// Panics if the instance isn't running, which is an error in the test's script.
     pub fn node(&self, name: &str) -> &Node {
         &self.hosts[name].node
     }
 
-    /// Returns the names of running instances.
+    /// Returns the names of the running instances.
     pub fn instances(&self) -> Vec<String> {
         self.hosts.keys().cloned().collect()
     }
 
-    /// Returns an engine.
+    /// Returns the state of an engine.
     ///
     /// # Panics
     ///
-    /// Panics when there is none: the test's script is wrong.
+    /// Panics if there is no such engine, which is an error in the test's script.
     pub fn engine(&self, name: &str) -> &EngineState {
         &self.engines[name].state
     }
 
-    /// Returns whether every shard is held by a running instance that may act on it.
+    /// Returns whether every shard is held by exactly one running instance.
     pub fn is_settled(&self) -> bool {
         let all = 0..self.options.shards;
         all.into_iter().all(|shard| self.holders(shard).len() == 1)
@@ -350,7 +361,7 @@
         shard_of(org, self.options.shards)
     }
 
-    /// Returns the instances that would act on a shard right now.
+    /// Returns the instances that would act on a shard at the current time.
     pub fn holders(&self, shard: u32) -> Vec<String> {
         let held = |host: &&Host| !host.paused && host.node.holds_shard(self.now, shard);
         let hosts = self.hosts.iter();
@@ -360,26 +371,27 @@
             .collect()
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time and handles the events that fall due.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(next) = self.queue.peek()
             && next.at <= end
         {
-            if let Some(queued) = self.queue.pop() {
-                self.now = self.now.max(queued.at);
+            if let Some(scheduled) = self.queue.pop() {
+                self.now = self.now.max(scheduled.at);
                 self.expire_log();
-                self.happen(queued.what);
-                self.check_engines();
+                self.handle_event(scheduled.event);
+                self.check_invariants();
             }
         }
         self.now = end;
     }
 
-    /// Lets time pass until `done`, at most for `limit`; returns whether it came about.
+    /// Advances the virtual time until `done` returns true, by at most `limit`. Returns whether it
+    /// did.
     pub fn run_until<F>(&mut self, limit: Duration, mut done: F) -> bool
     where
-        F: FnMut(&World) -> bool,
+        F: FnMut(&Simulation) -> bool,
     {
         let end = self.now + limit;
         while self.now < end {
--- a/crates/apricotwell_fakes/src/world/steps.rs
+++ b/crates/apricotwell_fakes/src/simulation/events.rs
@@ -1,14 +1,15 @@
-//! What processes do, step by step.
+//! Handling of events and of the actions that nodes return.
 
 use super::*;
 
-impl World {
-    // Configuration is appended by `put_at` and stays: these tests are about claims.
+impl Simulation {
+    // Drops expired records. The control stream keeps all of its records, including the
+    // configuration that `put_at_version` appends; the tests with expiry are about claims.
     pub(super) fn expire_log(&mut self) {
-        while let Some((at, _, _)) = self.log.ages.front()
+        while let Some((at, _, _)) = self.log.expiries.front()
             && *at <= self.now
         {
-            if let Some((_, stream, end)) = self.log.ages.pop_front()
+            if let Some((_, stream, end)) = self.log.expiries.pop_front()
                 && stream != CONTROL_STREAM
             {
                 self.log.streams.expire(&stream, end);
@@ -16,28 +17,28 @@
         }
     }
 
-    pub(super) fn happen(&mut self, what: Happening) {
-        match what {
-            Happening::At(name, life, step) => {
+    pub(super) fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Process(name, generation, event) => {
                 let Some(host) = self.hosts.get_mut(&name) else {
                     return;
                 };
-                if host.life != life {
+                if host.generation != generation {
                     return;
                 }
                 if host.paused {
-                    host.held.push(step);
+                    host.deferred.push(event);
                 } else {
-                    self.step(&name, step);
+                    self.handle_process_event(&name, event);
                 }
             }
-            Happening::Order(name, ticket, server, order, life) => {
-                self.take_order(&name, ticket, server, order, life);
+            SimEvent::Order(name, ticket, server, order, generation) => {
+                self.receive_order(&name, ticket, server, order, generation);
             }
-            Happening::Append(stream, records) => {
+            SimEvent::Append(stream, records) => {
                 self.log.streams.append(&stream, records);
             }
-            Happening::Loaded(server, incarnation, replica) => {
+            SimEvent::Loaded(server, incarnation, replica) => {
                 if let Some(engine) = self.engines.get_mut(&*server)
                     && engine.state.incarnation() == incarnation
                 {
@@ -47,53 +48,56 @@
         }
     }
 
-    fn step(&mut self, name: &str, step: Step) {
+    fn handle_process_event(&mut self, name: &str, event: ProcessEvent) {
         let now = self.now;
-        match step {
-            Step::Tick => {
-                self.tell(name, |node| node.tick(now));
-                self.after(TICK, name, Step::Tick);
+        match event {
+            ProcessEvent::Tick => {
+                self.with_node(name, |node| node.tick(now));
+                self.schedule_after(TICK, name, ProcessEvent::Tick);
             }
-            Step::Read => self.begin_read(name),
-            Step::ReadDone(began, result) => {
+            ProcessEvent::Read => self.begin_read(name),
+            ProcessEvent::ReadDone(began, result) => {
                 let pause = if result.is_err() { 200 } else { 5 };
                 self.finish_read(name, began, result);
-                self.after(Duration::from_millis(pause), name, Step::Read);
+                self.schedule_after(Duration::from_millis(pause), name, ProcessEvent::Read);
             }
-            Step::Appended(ticket, result) => {
-                self.tell(name, |node| node.on_appended(now, ticket, result));
+            ProcessEvent::Appended(ticket, result) => {
+                self.with_node(name, |node| node.on_appended(now, ticket, result));
             }
-            Step::ClaimsRead(stream, result) => {
-                self.tell(name, |node| node.on_claims_read(now, &stream, result));
+            ProcessEvent::ClaimsRead(stream, result) => {
+                self.with_node(name, |node| node.on_claims_read(now, &stream, result));
             }
-            Step::Deliver(envelope) => self.tell(name, |node| node.on_message(now, *envelope)),
-            Step::SendOrder(ticket, server, order, valid_until) => {
+            ProcessEvent::Deliver(envelope) => {
+                self.with_node(name, |node| node.on_message(now, *envelope))
+            }
+            ProcessEvent::SendOrder(ticket, server, order, valid_until) => {
                 self.send_order(name, ticket, server, order, valid_until);
             }
-            Step::OrderEnded(ticket, outcome) => {
-                self.tell(name, |node| node.on_order_ended(now, ticket, outcome));
+            ProcessEvent::OrderEnded(ticket, outcome) => {
+                self.with_node(name, |node| node.on_order_ended(now, ticket, outcome));
             }
-            Step::Report(server, report) => {
-                self.tell(name, |node| node.on_report(now, &server, report));
+            ProcessEvent::Report(server, report) => {
+                self.with_node(name, |node| node.on_report(now, &server, report));
             }
-            Step::AttemptEnded(request, attempt, end) => {
-                self.note_answer(name, request, &end);
-                self.tell(name, |node| {
-                    node.on_attempt_ended(now, request, &attempt, end)
+            ProcessEvent::AttemptEnded(request, attempt, outcome) => {
+                self.record_answer(name, request, &outcome);
+                self.with_node(name, |node| {
+                    node.on_attempt_ended(now, request, &attempt, outcome)
                 });
             }
-            Step::List => self.list(name),
+            ProcessEvent::List => self.list(name),
         }
     }
 
-    // A read waits for the next record; here it looks again after a while.
+    // A real read waits until the next record is appended. Here, an empty read is repeated after a
+    // short time.
     fn begin_read(&mut self, name: &str) {
-        let delay = self.delay();
+        let delay = self.network_delay();
         let began = self.now;
         let host = &self.hosts[name];
-        if self.log.down || host.log_cut {
+        if self.log.down || host.log_partitioned {
             let result = Err(ReadError::Unreachable);
-            self.after(delay, name, Step::ReadDone(began, result));
+            self.schedule_after(delay, name, ProcessEvent::ReadDone(began, result));
             return;
         }
         let from = host.node.next_offset();
@@ -103,25 +107,26 @@
             if batch.records.is_empty() {
                 let confirmed = host.node.next_offset() >= batch.end;
                 let wait = Duration::from_millis(10).min(READ_WAIT);
-                // An empty answer is passed on so that it confirms the view.
+                // An empty batch is passed to the node, because it confirms that its view is
+                // current.
                 if confirmed {
-                    self.after(delay + wait, name, Step::ReadDone(began, result));
+                    self.schedule_after(delay + wait, name, ProcessEvent::ReadDone(began, result));
                     return;
                 }
             }
         }
-        self.after(delay, name, Step::ReadDone(began, result));
+        self.schedule_after(delay, name, ProcessEvent::ReadDone(began, result));
     }
 
     fn finish_read(&mut self, name: &str, began: Instant, result: Result<LogBatch, ReadError>) {
         let now = self.now;
         let mut expired = false;
-        self.tell(name, |node| {
+        self.with_node(name, |node| {
             expired = node.on_control_read(now, began, result)
         });
         if expired && let Ok(batch) = self.log.streams.read(CHECKPOINT_STREAM, 1) {
             for chunk in batch.records {
-                self.tell(name, |node| {
+                self.with_node(name, |node| {
                     node.on_checkpoint_chunk(now, &chunk);
                 });
             }
@@ -146,17 +151,17 @@
             leaving: false,
         });
         let servers = engines.chain(services).collect();
-        self.tell(name, |node| node.on_instances(now, &contacts));
-        self.tell(name, |node| node.on_servers(now, servers));
-        self.after(Duration::from_secs(1), name, Step::List);
+        self.with_node(name, |node| node.on_instances(now, &contacts));
+        self.with_node(name, |node| node.on_servers(now, servers));
+        self.schedule_after(Duration::from_secs(1), name, ProcessEvent::List);
     }
 
-    pub(super) fn tell<F>(&mut self, name: &str, tell: F)
+    pub(super) fn with_node<F>(&mut self, name: &str, update: F)
     where
         F: FnOnce(&mut Node),
     {
         if let Some(host) = self.hosts.get_mut(name) {
-            tell(&mut host.node);
+            update(&mut host.node);
             self.take_actions(name);
         }
     }
@@ -167,12 +172,12 @@
         };
         let actions = host.node.take_actions();
         for action in actions {
-            self.act(name, action);
+            self.execute(name, action);
         }
     }
 
-    fn act(&mut self, name: &str, action: Action) {
-        let delay = self.delay();
+    fn execute(&mut self, name: &str, action: Action) {
+        let delay = self.network_delay();
         match action {
             Action::Append {
                 stream,
@@ -180,20 +185,20 @@
                 records,
             } => self.append(name, &stream, ticket, records),
             Action::ReadClaims { stream, from } => {
-                let cut = self.log.down || self.hosts[name].log_cut;
-                let result = if cut {
+                let unreachable = self.log.down || self.hosts[name].log_partitioned;
+                let result = if unreachable {
                     Err(ReadError::Unreachable)
                 } else {
                     self.log.streams.read(&stream, from)
                 };
-                self.after(delay * 2, name, Step::ClaimsRead(stream, result));
+                self.schedule_after(delay * 2, name, ProcessEvent::ClaimsRead(stream, result));
             }
             Action::Send { to, envelope } => {
                 self.messages += 1;
                 self.bytes_sent += envelope.size() as u64;
                 let pair = (name.to_owned(), to.id.to_string());
-                if !self.cuts.contains(&pair) && self.hosts.contains_key(&*to.id) {
-                    self.after(delay, &to.id, Step::Deliver(Box::new(envelope)));
+                if !self.partitions.contains(&pair) && self.hosts.contains_key(&*to.id) {
+                    self.schedule_after(delay, &to.id, ProcessEvent::Deliver(Box::new(envelope)));
                 }
             }
             Action::Order {
@@ -203,49 +208,51 @@
                 valid_until,
                 ..
             } => {
-                let step = Step::SendOrder(ticket, server, order, valid_until);
-                self.after(Duration::ZERO, name, step);
+                let event = ProcessEvent::SendOrder(ticket, server, order, valid_until);
+                self.schedule_after(Duration::ZERO, name, event);
             }
             Action::Poll { server, .. } => {
                 let report = self.report(&server);
-                self.after(delay * 2, name, Step::Report(server, report));
+                self.schedule_after(delay * 2, name, ProcessEvent::Report(server, report));
             }
             Action::Dispatch(dispatch) => self.dispatch(name, &dispatch),
             Action::Refuse { request, refusal } => {
-                self.end_call(name, request, Finish::Refused(refusal));
+                self.finish_call(name, request, CallOutcome::Refused(refusal));
+            }
+            Action::Replay { request, .. } => {
+                self.finish_call(name, request, CallOutcome::Replayed)
             }
-            Action::Replay { request, .. } => self.end_call(name, request, Finish::Replayed),
             Action::Event(event) => self.events.push(event),
         }
     }
 
     fn append(&mut self, name: &str, stream: &str, ticket: u64, records: Vec<Vec<u8>>) {
-        let delay = self.delay();
-        if self.log.down || self.hosts[name].log_cut {
+        let delay = self.network_delay();
+        if self.log.down || self.hosts[name].log_partitioned {
             let result = Err(AppendError::NotAppended);
-            self.after(delay, name, Step::Appended(ticket, result));
+            self.schedule_after(delay, name, ProcessEvent::Appended(ticket, result));
             return;
         }
-        if !self.log.delay.is_zero() {
-            let landing = Happening::Append(stream.to_owned(), records);
-            self.push(self.now + self.log.delay, landing);
+        if !self.log.append_delay.is_zero() {
+            let arrival = SimEvent::Append(stream.to_owned(), records);
+            self.schedule(self.now + self.log.append_delay, arrival);
             let result = Err(AppendError::Unknown);
-            self.after(APPEND_TIMEOUT, name, Step::Appended(ticket, result));
+            self.schedule_after(APPEND_TIMEOUT, name, ProcessEvent::Appended(ticket, result));
             return;
         }
         self.log.appends += 1;
         let offset = self.log.streams.append(stream, records);
-        let kept_until = self.now + self.options.retention;
+        let expires_at = self.now + self.options.retention;
         let end = self.log.streams.end(stream);
         self.log
-            .ages
-            .push_back((kept_until, stream.to_owned(), end));
+            .expiries
+            .push_back((expires_at, stream.to_owned(), end));
         if self.log.lose_replies > 0 {
             self.log.lose_replies -= 1;
             let result = Err(AppendError::Unknown);
-            self.after(APPEND_TIMEOUT, name, Step::Appended(ticket, result));
+            self.schedule_after(APPEND_TIMEOUT, name, ProcessEvent::Appended(ticket, result));
         } else {
-            self.after(delay, name, Step::Appended(ticket, Ok(offset)));
+            self.schedule_after(delay, name, ProcessEvent::Appended(ticket, Ok(offset)));
         }
     }
 
@@ -258,43 +265,44 @@
         valid_until: Instant,
     ) {
         if self.now >= valid_until {
-            let step = Step::OrderEnded(ticket, OrderOutcome::Failed);
-            self.after(Duration::ZERO, name, step);
+            let event = ProcessEvent::OrderEnded(ticket, OrderOutcome::Failed);
+            self.schedule_after(Duration::ZERO, name, event);
             return;
         }
-        let at = self.now + self.delay() + self.order_delay;
-        let life = self.hosts[name].life;
-        let what = Happening::Order(name.to_owned(), ticket, server, order, life);
-        self.push(at, what);
+        let at = self.now + self.network_delay() + self.order_delay;
+        let generation = self.hosts[name].generation;
+        let event = SimEvent::Order(name.to_owned(), ticket, server, order, generation);
+        self.schedule(at, event);
     }
 
-    fn take_order(
+    fn receive_order(
         &mut self,
         name: &str,
         ticket: u64,
         server: ServerId,
         order: EngineOrder,
-        life: u64,
+        generation: u64,
     ) {
-        let load = self.options.load;
-        let delay = self.delay();
+        let load_time = self.options.load_time;
+        let delay = self.network_delay();
         let decided = self.is_decided(order.replica);
         let Some(engine) = self
             .engines
             .get_mut(&*server)
-            .filter(|engine| engine.answers())
+            .filter(|engine| engine.is_reachable())
         else {
-            self.reply(name, life, delay, ticket, OrderOutcome::Failed);
+            self.reply(name, generation, delay, ticket, OrderOutcome::Failed);
             return;
         };
         let (outcome, pause) = match order.kind {
             OrderKind::Load => match engine.state.begin_load(&order) {
-                Ok(begun) => {
-                    if begun && !decided {
-                        let what = format!("replica {} was loaded undecided", order.replica);
-                        self.audit.breaks(what);
+                Ok(started) => {
+                    if started && !decided {
+                        let violation =
+                            format!("replica {} was loaded without a decision", order.replica);
+                        self.history.record_violation(violation);
                     }
-                    (OrderOutcome::Done, load)
+                    (OrderOutcome::Done, load_time)
                 }
                 Err(_) => (OrderOutcome::Failed, Duration::ZERO),
             },
@@ -307,16 +315,27 @@
         let lost = engine.lose_replies > 0;
         engine.lose_replies = engine.lose_replies.saturating_sub(1);
         if order.kind == OrderKind::Load && outcome == OrderOutcome::Done {
-            let loaded = Happening::Loaded(server, incarnation, order.replica);
-            self.push(self.now + pause, loaded);
+            let loaded = SimEvent::Loaded(server, incarnation, order.replica);
+            self.schedule(self.now + pause, loaded);
         }
         let outcome = if lost { OrderOutcome::Unknown } else { outcome };
-        self.reply(name, life, pause + delay, ticket, outcome);
+        self.reply(name, generation, pause + delay, ticket, outcome);
     }
 
-    fn reply(&mut self, name: &str, life: u64, delay: Duration, ticket: u64, end: OrderOutcome) {
-        let what = Happening::At(name.to_owned(), life, Step::OrderEnded(ticket, end));
-        self.push(self.now + delay, what);
+    fn reply(
+        &mut self,
+        name: &str,
+        generation: u64,
+        delay: Duration,
+        ticket: u64,
+        outcome: OrderOutcome,
+    ) {
+        let event = SimEvent::Process(
+            name.to_owned(),
+            generation,
+            ProcessEvent::OrderEnded(ticket, outcome),
+        );
+        self.schedule(self.now + delay, event);
     }
 
     fn is_decided(&self, replica: u64) -> bool {
@@ -331,11 +350,14 @@
     }
 
     fn report(&self, server: &str) -> Option<ServerReport> {
-        let engine = self.engines.get(server).filter(|engine| engine.answers())?;
+        let engine = self
+            .engines
+            .get(server)
+            .filter(|engine| engine.is_reachable())?;
         Some(ServerReport {
             incarnation: engine.state.incarnation(),
             replicas: engine.state.replicas(),
-            requests: engine.state.running(),
+            requests: engine.state.running_requests(),
             load_age: Duration::ZERO,
             leaving: engine.leaving,
             cached: Vec::new(),
@@ -343,40 +365,41 @@
     }
 
     fn dispatch(&mut self, name: &str, dispatch: &Dispatch) {
-        let delay = self.delay();
+        let delay = self.network_delay();
         let Some(number) = self.hosts[name].calls.get(&dispatch.request).copied() else {
             return;
         };
         let call = self.calls[&number].clone();
-        let end = self.run_call(number, &call, dispatch);
-        let pause = match end {
-            AttemptOutcome::Answered { .. } => self.options.run,
+        let outcome = self.run_call(number, &call, dispatch);
+        let run_time = match outcome {
+            AttemptOutcome::Answered { .. } => self.options.request_time,
             _ => Duration::ZERO,
         };
-        let step = Step::AttemptEnded(dispatch.request, dispatch.attempt.clone(), end);
-        self.after(delay * 2 + pause, name, step);
+        let event = ProcessEvent::AttemptEnded(dispatch.request, dispatch.attempt.clone(), outcome);
+        self.schedule_after(delay * 2 + run_time, name, event);
     }
 
     fn run_call(&mut self, number: u64, call: &Call, dispatch: &Dispatch) -> AttemptOutcome {
         if let Some(replica) = dispatch.replica {
             let engine = self.engines.get(&*dispatch.server);
-            let Some(engine) = engine.filter(|engine| engine.answers()) else {
+            let Some(engine) = engine.filter(|engine| engine.is_reachable()) else {
                 return AttemptOutcome::NotRun { unreachable: true };
             };
             if !engine.state.is_loaded(replica) {
                 return AttemptOutcome::NotRun { unreachable: true };
             }
         }
-        *self.audit.call_runs.entry(number).or_default() += 1;
+        *self.history.call_runs.entry(number).or_default() += 1;
         if let Some(key) = &call.key {
-            let runs = self.audit.runs.entry(key.clone()).or_default();
+            let runs = self.history.runs.entry(key.clone()).or_default();
             *runs += 1;
             let runs = *runs;
             if runs > 1 {
-                self.audit.breaks(format!("key {key} ran {runs} times"));
+                self.history
+                    .record_violation(format!("key {key} ran {runs} times"));
             }
         }
-        self.audit.spent.push(Spent {
+        self.history.token_uses.push(TokenUse {
             at: self.now,
             org: call.org.clone(),
             tokens: call.used,
@@ -399,30 +422,32 @@
         }
     }
 
-    fn note_answer(&mut self, name: &str, request: RequestId, end: &AttemptOutcome) {
-        if matches!(end, AttemptOutcome::Answered { .. }) {
-            self.end_call(name, request, Finish::Answered);
+    fn record_answer(&mut self, name: &str, request: RequestId, outcome: &AttemptOutcome) {
+        if matches!(outcome, AttemptOutcome::Answered { .. }) {
+            self.finish_call(name, request, CallOutcome::Answered);
         }
     }
 
-    fn end_call(&mut self, name: &str, request: RequestId, finish: Finish) {
+    fn finish_call(&mut self, name: &str, request: RequestId, outcome: CallOutcome) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(name) else {
             return;
         };
         if let Some(number) = host.calls.remove(&request) {
-            self.audit.end(now, number, finish);
+            self.history.record_outcome(now, number, outcome);
         }
     }
 
-    pub(super) fn check_engines(&mut self) {
+    pub(super) fn check_invariants(&mut self) {
         for (name, engine) in &self.engines {
-            if engine.state.used() > self.options.memory {
-                let used = engine.state.used();
-                self.audit.breaks(format!("{name} holds {used} MiB"));
+            if engine.state.used_mib() > self.options.memory_mib {
+                let used = engine.state.used_mib();
+                self.history
+                    .record_violation(format!("{name} uses {used} MiB, more than its memory"));
             }
         }
-        // Leases lapse by time, so a look every few milliseconds sees each overlap.
+        // Leases expire with time, not only by events, so two holders of a shard are only found by
+        // a check every few milliseconds.
         if self.now < self.next_check {
             return;
         }
@@ -430,30 +455,30 @@
         for shard in 0..self.options.shards {
             let holders = self.holders(shard);
             if holders.len() > 1 {
-                self.audit
-                    .breaks(format!("shard {shard} is held by {holders:?}"));
+                self.history
+                    .record_violation(format!("shard {shard} has several holders: {holders:?}"));
             }
         }
     }
 
-    pub(super) fn delay(&mut self) -> Duration {
+    pub(super) fn network_delay(&mut self) -> Duration {
         Duration::from_micros(self.random.random_range(200..1500))
     }
 
-    pub(super) fn after(&mut self, delay: Duration, name: &str, step: Step) {
+    pub(super) fn schedule_after(&mut self, delay: Duration, name: &str, event: ProcessEvent) {
         let Some(host) = self.hosts.get(name) else {
             return;
         };
-        let what = Happening::At(name.to_owned(), host.life, step);
-        self.push(self.now + delay, what);
+        let event = SimEvent::Process(name.to_owned(), host.generation, event);
+        self.schedule(self.now + delay, event);
     }
 
-    pub(super) fn push(&mut self, at: Instant, what: Happening) {
-        self.last_number += 1;
-        self.queue.push(Queued {
+    pub(super) fn schedule(&mut self, at: Instant, event: SimEvent) {
+        self.last_sequence += 1;
+        self.queue.push(Scheduled {
             at,
-            number: self.last_number,
-            what,
+            sequence: self.last_sequence,
+            event,
         });
     }
 }
--- a/crates/apricotwell_fakes/src/world/faults.rs
+++ b/crates/apricotwell_fakes/src/simulation/faults.rs
@@ -1,33 +1,33 @@
-//! Starting, ending and disturbing processes.
+//! Start and end of processes, and faults.
 
 use super::*;
 
-impl World {
-    /// Starts an instance, or starts it anew.
+impl Simulation {
+    /// Starts an instance, or restarts it with an empty state.
     pub fn start_instance(&mut self, name: &str) {
-        self.last_life += 1;
+        self.last_generation += 1;
         let index: usize = name
             .rsplit('-')
             .next()
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
         let zone = ["zone-a", "zone-b", "zone-c"][index % 3];
-        let incarnation = self.elapsed().as_millis() as u64 + self.last_life;
+        let incarnation = self.elapsed().as_millis() as u64 + self.last_generation;
         let mut settings = NodeSettings::for_test(name, zone, incarnation);
         settings.genesis = Genesis {
-            root_key: self.root.public_hex(),
+            root_key: self.root_key.public_hex(),
             shards: self.options.shards,
         };
-        settings.seed = self.options.seed.wrapping_mul(1000) + self.last_life;
+        settings.seed = self.options.seed.wrapping_mul(1000) + self.last_generation;
         settings.checkpoint_records = self.options.checkpoint_records;
         settings.log_retention = self.options.retention;
         let wall = Duration::from_secs(1_000_000) + self.elapsed();
         let host = Host {
             node: Node::new(self.now, wall, settings),
-            life: self.last_life,
+            generation: self.last_generation,
             paused: false,
-            held: Vec::new(),
-            log_cut: false,
+            deferred: Vec::new(),
+            log_partitioned: false,
             calls: BTreeMap::new(),
         };
         self.hosts.insert(name.to_owned(), host);
@@ -36,17 +36,17 @@
         if let (Ok(batch), false) = (chunks, self.log.down) {
             for chunk in batch.records {
                 let now = self.now;
-                self.tell(name, |node| {
+                self.with_node(name, |node| {
                     node.on_checkpoint_chunk(now, &chunk);
                 });
             }
         }
-        for step in [Step::List, Step::Tick, Step::Read] {
-            self.after(Duration::from_millis(1), name, step);
+        for event in [ProcessEvent::List, ProcessEvent::Tick, ProcessEvent::Read] {
+            self.schedule_after(Duration::from_millis(1), name, event);
         }
     }
 
-    /// Ends an instance without warning.
+    /// Kills an instance.
     pub fn kill(&mut self, name: &str) {
         if let Some(host) = self.hosts.remove(name) {
             for call in host.calls.into_values() {
@@ -55,100 +55,100 @@
         }
     }
 
-    /// Takes an instance off the platform's list.
+    /// Removes an instance from the platform's list.
     pub fn unlist(&mut self, name: &str) {
         self.listed.remove(name);
     }
 
-    /// Stops a process where it stands.
+    /// Pauses a process, as `SIGSTOP` does.
     pub fn pause(&mut self, name: &str) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.paused = true;
         }
     }
 
-    /// Lets a stopped process go on.
+    /// Resumes a paused process, which then handles the events that arrived meanwhile.
     pub fn resume(&mut self, name: &str) {
         let Some(host) = self.hosts.get_mut(name) else {
             return;
         };
         host.paused = false;
-        let held = std::mem::take(&mut host.held);
-        for step in held {
-            self.after(Duration::ZERO, name, step);
+        let deferred = std::mem::take(&mut host.deferred);
+        for event in deferred {
+            self.schedule_after(Duration::ZERO, name, event);
         }
     }
 
-    /// Cuts the network between two instances, or heals it.
-    pub fn cut(&mut self, one: &str, other: &str, cut: bool) {
+    /// Partitions two instances from each other, or ends the partition.
+    pub fn set_partition(&mut self, one: &str, other: &str, partitioned: bool) {
         for (from, to) in [(one, other), (other, one)] {
             let pair = (from.to_owned(), to.to_owned());
-            if cut {
-                self.cuts.insert(pair);
+            if partitioned {
+                self.partitions.insert(pair);
             } else {
-                self.cuts.remove(&pair);
+                self.partitions.remove(&pair);
             }
         }
     }
 
-    /// Cuts an instance off the log, or heals it.
-    pub fn cut_log(&mut self, name: &str, cut: bool) {
+    /// Partitions an instance from the log, or ends the partition.
+    pub fn set_log_partition(&mut self, name: &str, partitioned: bool) {
         if let Some(host) = self.hosts.get_mut(name) {
-            host.log_cut = cut;
+            host.log_partitioned = partitioned;
         }
     }
 
-    /// Makes an instance drain.
-    pub fn leave(&mut self, name: &str) {
+    /// Makes an instance drain and leave the fleet.
+    pub fn drain(&mut self, name: &str) {
         let now = self.now;
-        self.tell(name, |node| node.leave(now));
+        self.with_node(name, |node| node.leave(now));
     }
 
-    /// Starts an engine, or starts it anew with nothing loaded.
+    /// Starts an engine, or restarts it with nothing loaded.
     pub fn start_engine(&mut self, name: &str) {
         let incarnation = self.elapsed().as_millis() as u64 + 1;
         let engine = Engine {
-            state: EngineState::new(incarnation, self.options.memory, self.options.fencing),
+            state: EngineState::new(incarnation, self.options.memory_mib, self.options.fencing),
             alive: true,
             fencing: self.options.fencing,
             lose_replies: 0,
             leaving: false,
-            silent: false,
+            unreachable: false,
         };
         self.engines.insert(name.to_owned(), engine);
     }
 
-    /// Ends an engine without warning.
+    /// Kills an engine.
     pub fn kill_engine(&mut self, name: &str) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.alive = false;
             let fencing = engine.fencing;
-            engine.state = EngineState::new(0, self.options.memory, fencing);
+            engine.state = EngineState::new(0, self.options.memory_mib, fencing);
         }
     }
 
-    /// Makes an engine unreachable while it goes on, or reachable again.
-    pub fn silence_engine(&mut self, name: &str, silent: bool) {
+    /// Makes an engine unreachable while it keeps running, or reachable again.
+    pub fn set_engine_unreachable(&mut self, name: &str, unreachable: bool) {
         if let Some(engine) = self.engines.get_mut(name) {
-            engine.silent = silent;
+            engine.unreachable = unreachable;
         }
     }
 
-    /// Makes an engine forget what it has loaded, without a restart.
+    /// Makes an engine drop its replicas without a restart.
     pub fn drop_replicas(&mut self, name: &str) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.state.drop_replicas();
         }
     }
 
-    /// Lets an engine announce that it leaves.
+    /// Makes an engine report that it is leaving.
     pub fn retire_engine(&mut self, name: &str) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.leaving = true;
         }
     }
 
-    /// Lets an engine take the next orders without answering.
+    /// Makes an engine execute the next `count` orders without a reply.
     pub fn lose_order_replies(&mut self, name: &str, count: u32) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.lose_replies = count;
--- a/crates/apricotwell_fakes/src/world/script.rs
+++ b/crates/apricotwell_fakes/src/simulation/operations.rs
@@ -1,22 +1,24 @@
-//! What operators and callers do.
+//! Operations of operators and clients.
 
 use super::*;
 
-impl World {
-    /// Publishes a configuration value as the root operator, on top of the present version.
+impl Simulation {
+    /// Publishes a configuration value as the root operator, based on its current version. Returns
+    /// the offset of the record.
     pub fn put(&mut self, path: &str, value: &str) -> u64 {
         let expected = self.version(path);
-        self.put_at(path, Some(value), expected)
+        self.put_at_version(path, Some(value), expected)
     }
 
-    /// Deletes a configuration value.
+    /// Deletes a configuration value. Returns the offset of the record.
     pub fn delete(&mut self, path: &str) -> u64 {
         let expected = self.version(path);
-        self.put_at(path, None, expected)
+        self.put_at_version(path, None, expected)
     }
 
-    /// Publishes a configuration change that was decided on a version.
-    pub fn put_at(&mut self, path: &str, value: Option<&str>, expected: u64) -> u64 {
+    /// Publishes a change of a configuration value, `None` to delete it, that nodes apply only if
+    /// its version is `expected`. Returns the offset of the record.
+    pub fn put_at_version(&mut self, path: &str, value: Option<&str>, expected: u64) -> u64 {
         let mut put = PutConfig {
             path: path.to_owned(),
             expected,
@@ -24,17 +26,19 @@
             change: self.random.random(),
             signature: Vec::new(),
         };
-        self.root.sign("root", &mut put);
+        self.root_key.sign("root", &mut put);
         let record = Record::new("root", 0, 0, Body::PutConfig(put)).to_bytes();
         self.log.streams.append(CONTROL_STREAM, vec![record])
     }
 
-    /// Publishes what most tests need: one organisation, one model, one route.
+    /// Publishes the configuration that most tests use: two pools, one model, and one organisation
+    /// with an API key.
     pub fn configure(&mut self) {
         let fencing = self.options.fencing;
-        let memory = self.options.memory;
-        let pool =
-            format!("kind = \"engine\"\nmemory_mib = {memory}\nslots = 4\nfencing = {fencing}\n");
+        let memory_mib = self.options.memory_mib;
+        let pool = format!(
+            "kind = \"engine\"\nmemory_mib = {memory_mib}\nslots = 4\nfencing = {fencing}\n"
+        );
         self.put("/platform/pools/engines", &pool);
         self.put("/platform/pools/orders", "kind = \"service\"\nslots = 16\n");
         self.put_model("model-a", 400, 1);
@@ -49,28 +53,29 @@
         );
     }
 
-    /// Publishes a model.
-    pub fn put_model(&mut self, name: &str, memory: u64, max_replicas: u32) -> u64 {
+    /// Publishes a model. Returns the offset of the record.
+    pub fn put_model(&mut self, name: &str, memory_mib: u64, max_replicas: u32) -> u64 {
         let value = format!(
-            "version = \"1\"\nmemory_mib = {memory}\npool = \"engines\"\nmax_replicas = {max_replicas}\nkeep_warm_s = 3600\n"
+            "version = \"1\"\nmemory_mib = {memory_mib}\npool = \"engines\"\nmax_replicas = {max_replicas}\nkeep_warm_s = 3600\n"
         );
         self.put(&format!("/platform/models/{name}"), &value)
     }
 
     pub(super) fn version(&self, path: &str) -> u64 {
-        let state = self.folded();
+        let state = self.replay_log();
         state.config().get(path).map_or(0, |entry| entry.version)
     }
 
-    /// Returns the state that the whole log folds to.
-    pub fn folded(&self) -> State {
+    /// Returns the state that results from replaying the control stream.
+    pub fn replay_log(&self) -> State {
         let mut state = State::new(Genesis {
-            root_key: self.root.public_hex(),
+            root_key: self.root_key.public_hex(),
             shards: self.options.shards,
         });
         loop {
             let Ok(batch) = self.log.streams.read(CONTROL_STREAM, state.next()) else {
-                // The first records are dropped: the node that has read furthest knows the rest.
+                // The first records have expired, so the state of the node that has read furthest
+                // is used instead.
                 let states = self.hosts.values().map(|host| host.node.state());
                 return states
                     .max_by_key(|state| state.next())
@@ -81,20 +86,21 @@
                 return state;
             }
             for (offset, bytes) in (batch.first..).zip(&batch.records) {
-                // Rejected records are part of every log.
+                // A log may contain rejected records, which every reader skips.
                 let _ = state.apply_bytes(offset, bytes);
             }
         }
     }
 
-    /// Sends a call to an instance and returns its number.
+    /// Sends a call to an instance and returns the call's number.
     pub fn call(&mut self, name: &str, call: Call) -> u64 {
         self.last_call += 1;
         let number = self.last_call;
         let submission = match self.submission(name, &call) {
             Ok(submission) => submission,
             Err(refusal) => {
-                self.audit.end(self.now, number, Finish::Refused(refusal));
+                self.history
+                    .record_outcome(self.now, number, CallOutcome::Refused(refusal));
                 return number;
             }
         };
@@ -107,7 +113,9 @@
             Ok(id) => {
                 host.calls.insert(id, number);
             }
-            Err(refusal) => self.audit.end(now, number, Finish::Refused(refusal)),
+            Err(refusal) => self
+                .history
+                .record_outcome(now, number, CallOutcome::Refused(refusal)),
         }
         self.take_actions(name);
         number
@@ -138,7 +146,7 @@
             api_key: Some(digest),
             target,
             class: call.class,
-            deadline: self.now + call.patience,
+            deadline: self.now + call.timeout,
             prompt_tokens: 0,
             max_output: call.reserved,
             prefix: None,
--- a/crates/apricotwell_node/tests/claims.rs
+++ b/crates/apricotwell_node/tests/claims.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use apricotwell_fakes::{Call, Finish, World, WorldOptions};
+use apricotwell_fakes::{Call, CallOutcome, Simulation, SimulationOptions};
 use apricotwell_types::{RefusalKind, RunOutcome};
 
 const NONE: Vec<String> = Vec::new();
@@ -11,52 +11,52 @@
     Duration::from_secs(count)
 }
 
-fn world(seed: u64) -> World {
-    let mut world = World::new(WorldOptions {
+fn simulation(seed: u64) -> Simulation {
+    let mut sim = Simulation::new(SimulationOptions {
         seed,
         instances: 5,
         services: 2,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     });
-    world.configure();
-    world.run_for(seconds(8));
-    assert!(world.is_settled());
-    world
+    sim.configure();
+    sim.run_for(seconds(8));
+    assert!(sim.is_settled());
+    sim
 }
 
 fn order(key: &str) -> Call {
     Call::order("org-a", "orders", key)
 }
 
-fn finish(world: &World, call: u64) -> Finish {
-    world.audit.ends[&call].1.clone()
+fn finish(sim: &Simulation, call: u64) -> CallOutcome {
+    sim.history.outcomes[&call].1.clone()
 }
 
 #[test]
 fn a_repeat_gets_the_recorded_answer_wherever_it_arrives() {
-    let mut world = world(1);
-    let first = world.call("entry-1", order("w1"));
-    world.run_for(seconds(1));
-    assert_eq!(finish(&world, first), Finish::Answered);
-    for name in world.instances() {
-        let repeat = world.call(&name, order("w1"));
-        world.run_for(seconds(1));
-        assert_eq!(finish(&world, repeat), Finish::Replayed, "{name}");
+    let mut sim = simulation(1);
+    let first = sim.call("entry-1", order("w1"));
+    sim.run_for(seconds(1));
+    assert_eq!(finish(&sim, first), CallOutcome::Answered);
+    for name in sim.instances() {
+        let repeat = sim.call(&name, order("w1"));
+        sim.run_for(seconds(1));
+        assert_eq!(finish(&sim, repeat), CallOutcome::Replayed, "{name}");
     }
-    assert_eq!(world.audit.runs["w1"], 1);
-    assert_eq!(world.broken(), NONE);
+    assert_eq!(sim.history.runs["w1"], 1);
+    assert_eq!(sim.violations(), NONE);
 }
 
 #[test]
 fn a_key_with_a_different_body_is_rejected() {
-    let mut world = world(1);
-    world.call("entry-1", order("w1"));
-    world.run_for(seconds(1));
+    let mut sim = simulation(1);
+    sim.call("entry-1", order("w1"));
+    sim.run_for(seconds(1));
     let mut other = order("w1");
     other.body = "another body".to_owned();
-    let other = world.call("entry-2", other);
-    world.run_for(seconds(1));
-    let Finish::Refused(refusal) = finish(&world, other) else {
+    let other = sim.call("entry-2", other);
+    sim.run_for(seconds(1));
+    let CallOutcome::Refused(refusal) = finish(&sim, other) else {
         panic!("not refused");
     };
     assert_eq!(
@@ -68,60 +68,60 @@
 #[test]
 fn repeats_at_the_same_moment_run_once() {
     for seed in 1..=8 {
-        let mut world = world(seed);
+        let mut sim = simulation(seed);
         for round in 0..5 {
             let key = format!("w{round}");
-            for name in world.instances() {
-                world.call(&name, order(&key));
+            for name in sim.instances() {
+                sim.call(&name, order(&key));
             }
-            world.run_for(seconds(1));
-            assert_eq!(world.audit.runs.get(&key), Some(&1), "seed {seed}");
+            sim.run_for(seconds(1));
+            assert_eq!(sim.history.runs.get(&key), Some(&1), "seed {seed}");
         }
-        assert_eq!(world.broken(), NONE, "seed {seed}");
+        assert_eq!(sim.violations(), NONE, "seed {seed}");
     }
 }
 
-type Fault = (&'static str, fn(&mut World));
+type Fault = (&'static str, fn(&mut Simulation));
 
 const FAULTS: [Fault; 9] = [
-    ("serving instance killed", |world| {
-        world.kill("entry-1");
+    ("serving instance killed", |sim| {
+        sim.kill("entry-1");
     }),
-    ("serving instance killed and restarted", |world| {
-        world.kill("entry-1");
-        world.run_for(Duration::from_millis(300));
-        world.start_instance("entry-1");
+    ("serving instance killed and restarted", |sim| {
+        sim.kill("entry-1");
+        sim.run_for(Duration::from_millis(300));
+        sim.start_instance("entry-1");
     }),
-    ("another instance killed", |world| world.kill("entry-3")),
-    ("two instances killed", |world| {
-        world.kill("entry-2");
-        world.kill("entry-4");
+    ("another instance killed", |sim| sim.kill("entry-3")),
+    ("two instances killed", |sim| {
+        sim.kill("entry-2");
+        sim.kill("entry-4");
     }),
-    ("all others paused past their terms", |world| {
+    ("all others paused past their terms", |sim| {
         for name in ["entry-2", "entry-3", "entry-4", "entry-5"] {
-            world.pause(name);
+            sim.pause(name);
         }
-        world.run_for(seconds(9));
+        sim.run_for(seconds(9));
         for name in ["entry-2", "entry-3", "entry-4", "entry-5"] {
-            world.resume(name);
+            sim.resume(name);
         }
     }),
-    ("log down for 6 s", |world| {
-        world.log.down = true;
-        world.run_for(seconds(6));
-        world.log.down = false;
+    ("log down for 6 s", |sim| {
+        sim.log.down = true;
+        sim.run_for(seconds(6));
+        sim.log.down = false;
     }),
-    ("append replies lost", |world| world.log.lose_replies = 3),
-    ("serving instance cut off from its peers", |world| {
+    ("append replies lost", |sim| sim.log.lose_replies = 3),
+    ("serving instance cut off from its peers", |sim| {
         for other in ["entry-2", "entry-3", "entry-4", "entry-5"] {
-            world.cut("entry-1", other, true);
+            sim.set_partition("entry-1", other, true);
         }
-        world.run_for(seconds(6));
+        sim.run_for(seconds(6));
         for other in ["entry-2", "entry-3", "entry-4", "entry-5"] {
-            world.cut("entry-1", other, false);
+            sim.set_partition("entry-1", other, false);
         }
     }),
-    ("an instance leaves", |world| world.leave("entry-2")),
+    ("an instance leaves", |sim| sim.drain("entry-2")),
 ];
 
 #[test]
@@ -130,36 +130,36 @@
         for moment_us in [0, 700, 1500, 3000, 5000, 20_000, 60_000] {
             for seed in 1..=2 {
                 let case = format!("{name} after {moment_us} us, seed {seed}");
-                let mut world = world(seed);
+                let mut sim = simulation(seed);
                 let keys = ["w1", "w2", "w3", "w4"];
                 let mut calls = Vec::new();
                 for key in keys {
-                    calls.push(world.call("entry-1", order(key)));
+                    calls.push(sim.call("entry-1", order(key)));
                 }
-                world.run_for(Duration::from_micros(moment_us));
-                fault(&mut world);
+                sim.run_for(Duration::from_micros(moment_us));
+                fault(&mut sim);
                 // Clients retry four times on the last instance that is still running.
                 for _ in 0..4 {
                     for key in keys {
-                        let target = world.instances().into_iter().next_back().unwrap();
-                        calls.push(world.call(&target, order(key)));
+                        let target = sim.instances().into_iter().next_back().unwrap();
+                        calls.push(sim.call(&target, order(key)));
                     }
-                    world.run_for(seconds(6));
+                    sim.run_for(seconds(6));
                 }
-                assert_eq!(world.broken(), NONE, "{case}");
+                assert_eq!(sim.violations(), NONE, "{case}");
                 for key in keys {
-                    let runs = world.audit.runs.get(key).copied().unwrap_or(0);
+                    let runs = sim.history.runs.get(key).copied().unwrap_or(0);
                     assert!(runs <= 1, "{case}: {key} ran {runs} times");
                 }
                 // After recovery, each key was answered, or its instance died and the outcome is
                 // unknown.
                 for (index, key) in keys.iter().enumerate() {
                     let last = calls[calls.len() - keys.len() + index];
-                    let settled = match finish(&world, last) {
-                        Finish::Answered | Finish::Replayed => true,
-                        Finish::Refused(refusal) => refusal.outcome == RunOutcome::Unknown,
+                    let settled = match finish(&sim, last) {
+                        CallOutcome::Answered | CallOutcome::Replayed => true,
+                        CallOutcome::Refused(refusal) => refusal.outcome == RunOutcome::Unknown,
                     };
-                    assert!(settled, "{case}: {key} ended {:?}", finish(&world, last));
+                    assert!(settled, "{case}: {key} ended {:?}", finish(&sim, last));
                 }
             }
         }
@@ -169,12 +169,12 @@
 #[test]
 fn with_the_log_down_an_order_is_rejected_in_time_and_does_not_run_later() {
     for seed in 1..=5 {
-        let mut world = world(seed);
-        world.log.down = true;
-        world.run_for(seconds(5));
-        let call = world.call("entry-1", order("w1"));
-        world.run_for(Duration::from_millis(3500));
-        let Finish::Refused(refusal) = finish(&world, call) else {
+        let mut sim = simulation(seed);
+        sim.log.down = true;
+        sim.run_for(seconds(5));
+        let call = sim.call("entry-1", order("w1"));
+        sim.run_for(Duration::from_millis(3500));
+        let CallOutcome::Refused(refusal) = finish(&sim, call) else {
             panic!("seed {seed}: not refused");
         };
         assert_eq!(
@@ -182,56 +182,56 @@
             (RefusalKind::ClaimUnavailable, RunOutcome::NotRun)
         );
         assert!(refusal.retry_after.is_some());
-        world.log.down = false;
-        world.run_for(seconds(20));
-        assert_eq!(world.audit.runs.get("w1"), None, "seed {seed}");
-        let again = world.call("entry-2", order("w1"));
-        world.run_for(seconds(3));
-        assert_eq!(finish(&world, again), Finish::Answered, "seed {seed}");
-        assert_eq!(world.broken(), NONE, "seed {seed}");
+        sim.log.down = false;
+        sim.run_for(seconds(20));
+        assert_eq!(sim.history.runs.get("w1"), None, "seed {seed}");
+        let again = sim.call("entry-2", order("w1"));
+        sim.run_for(seconds(3));
+        assert_eq!(finish(&sim, again), CallOutcome::Answered, "seed {seed}");
+        assert_eq!(sim.violations(), NONE, "seed {seed}");
     }
 }
 
 #[test]
 fn a_lost_answer_is_reported_as_unknown_to_the_client_and_to_every_repeat() {
-    let mut world = world(1);
+    let mut sim = simulation(1);
     let mut call = order("w1");
     call.body = "lost answer".to_owned();
-    let first = world.call("entry-1", call.clone());
-    world.run_for(seconds(1));
-    let repeat = world.call("entry-4", call);
-    world.run_for(seconds(1));
+    let first = sim.call("entry-1", call.clone());
+    sim.run_for(seconds(1));
+    let repeat = sim.call("entry-4", call);
+    sim.run_for(seconds(1));
     for call in [first, repeat] {
-        let Finish::Refused(refusal) = finish(&world, call) else {
+        let CallOutcome::Refused(refusal) = finish(&sim, call) else {
             panic!("not refused");
         };
         assert_eq!(refusal.outcome, RunOutcome::Unknown);
     }
-    assert_eq!(world.audit.runs["w1"], 1);
+    assert_eq!(sim.history.runs["w1"], 1);
 }
 
 #[test]
 fn claims_survive_restarts_and_the_retention_of_the_log() {
-    let mut world = World::new(WorldOptions {
+    let mut sim = Simulation::new(SimulationOptions {
         instances: 3,
         retention: seconds(40),
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     });
-    world.configure();
-    world.run_for(seconds(8));
-    let call = world.call("entry-1", order("w1"));
-    world.run_for(seconds(1));
-    assert_eq!(finish(&world, call), Finish::Answered);
+    sim.configure();
+    sim.run_for(seconds(8));
+    let call = sim.call("entry-1", order("w1"));
+    sim.run_for(seconds(1));
+    assert_eq!(finish(&sim, call), CallOutcome::Answered);
     for round in 0..6 {
-        world.run_for(seconds(20));
+        sim.run_for(seconds(20));
         let name = format!("entry-{}", round % 3 + 1);
-        world.kill(&name);
-        world.run_for(seconds(8));
-        world.start_instance(&name);
-        world.run_for(seconds(8));
+        sim.kill(&name);
+        sim.run_for(seconds(8));
+        sim.start_instance(&name);
+        sim.run_for(seconds(8));
     }
-    let repeat = world.call("entry-2", order("w1"));
-    world.run_for(seconds(2));
-    assert_eq!(finish(&world, repeat), Finish::Replayed);
-    assert_eq!(world.broken(), NONE);
+    let repeat = sim.call("entry-2", order("w1"));
+    sim.run_for(seconds(2));
+    assert_eq!(finish(&sim, repeat), CallOutcome::Replayed);
+    assert_eq!(sim.violations(), NONE);
 }
--- a/crates/apricotwell_standins/src/engine.rs
+++ b/crates/apricotwell_standins/src/engine.rs
@@ -16,9 +16,10 @@
 use apricotwell_fakes::EngineState;
 use apricotwell_node::{EngineOrder, OrderKind, ReportedReplica};
 
-/// Stand-in for a model engine: loads, streams, reports and fails on demand.
+/// Stand-in for a model engine: loads models, streams completions, sends reports and injects
+/// faults.
 ///
-/// Faults are set with `POST /faults`, what happened is read from `GET /audit`.
+/// Faults are set with `POST /faults`; `GET /audit` returns counters of the work done.
 #[derive(argh::FromArgs, Clone, Debug)]
 pub struct EngineArgs {
     /// address to listen on, as ip:port
@@ -30,7 +31,7 @@
     /// accelerator memory in MiB
     #[argh(option, default = "48000")]
     pub memory_mib: u64,
-    /// refuse orders with an old fencing number
+    /// reject orders with a stale fencing token
     #[argh(switch)]
     pub fencing: bool,
     /// milliseconds to the first token
@@ -39,25 +40,27 @@
     /// milliseconds between tokens
     #[argh(option, default = "5")]
     pub token_ms: u64,
-    /// text that makes the process abort when it stands in a body
+    /// text that makes the process abort if a request body contains it
     #[argh(option)]
     pub crash_on: Option<String>,
 }
 
-/// Faults of an engine; absent fields stay as they are.
+/// Change of an engine's faults, as received by `POST /faults`. Absent fields keep their value.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EngineFaults {
-    /// Number of orders that take effect without an answer.
+    /// Number of upcoming orders that take effect but whose reply is lost.
     lose_order_replies: Option<u32>,
-    /// Whether new work is refused.
+    /// Whether the engine reports that it is leaving and refuses new requests.
     leaving: Option<bool>,
-    /// Number of streams that break after two tokens.
+    /// Number of upcoming streams that break after two tokens.
     break_streams: Option<u32>,
-    /// Number of requests that never make progress.
-    silent: Option<u32>,
-    /// Number of answers that name another attempt.
-    cross: Option<u32>,
+    /// Number of upcoming requests that hang for an hour.
+    #[serde(rename = "silent")]
+    hanging_requests: Option<u32>,
+    /// Number of upcoming responses that carry the id of another attempt.
+    #[serde(rename = "cross")]
+    wrong_attempts: Option<u32>,
 }
 
 #[derive(Default)]
@@ -65,8 +68,8 @@
     lose_order_replies: u32,
     leaving: bool,
     break_streams: u32,
-    silent: u32,
-    cross: u32,
+    hanging_requests: u32,
+    wrong_attempts: u32,
 }
 
 #[derive(Clone)]
@@ -86,13 +89,13 @@
     }
 }
 
-// Ends the request when its answer is dropped, whole or not.
-struct Running {
+// Ends a request when its response is dropped, complete or not.
+struct RequestGuard {
     engine: Engine,
     replica: u64,
 }
 
-impl Drop for Running {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.engine.state().end_request(self.replica);
     }
@@ -102,7 +105,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn run_engine(args: EngineArgs) -> io::Result<()> {
     let incarnation = apricotwell_logging::wall_time().as_millis() as u64;
     let state = EngineState::new(incarnation, args.memory_mib, args.fencing);
@@ -137,7 +140,7 @@
         Some(order) if order.kind == OrderKind::Load => load(&engine, &order).await,
         Some(order) => {
             let unloaded = engine.state().unload(&order);
-            unloaded.map_err(|refused| refused.as_str())
+            unloaded.map_err(|error| error.as_str())
         }
         None => Err("unknown kind of order"),
     };
@@ -201,12 +204,12 @@
 }
 
 async fn load(engine: &Engine, order: &EngineOrder) -> Result<(), &'static str> {
-    let begun = engine.state().begin_load(order);
-    if begun.map_err(|refused| refused.as_str())? {
+    let started = engine.state().begin_load(order);
+    if started.map_err(|error| error.as_str())? {
         let adapter = order.model.contains(':');
         let url = format!("http://{}/weights?adapter={adapter}", engine.args.platform);
         let client = apricotwell_adapters::control_client();
-        // A store that does not answer makes the load slow, not wrong.
+        // An unreachable weight store delays the load but doesn't make it fail.
         if client.get(url).send().await.is_err() {
             sleep(Duration::from_secs(1)).await;
         }
@@ -224,36 +227,38 @@
     HttpResponse::Ok().json(ReportBody {
         incarnation: state.incarnation(),
         replicas: replica_bodies(&state),
-        requests: state.running(),
+        requests: state.running_requests(),
         lag_ms: 0,
         leaving,
         cached: Vec::new(),
-        used_mib: state.used(),
+        used_mib: state.used_mib(),
     })
 }
 
 async fn audit(engine: Data<Engine>) -> HttpResponse {
-    let audit = engine.state().audit().clone();
+    let stats = engine.state().stats().clone();
     HttpResponse::Ok().json(AuditBody {
-        requests: audit.requests,
-        secrets_seen: audit.secrets_seen,
-        most_mib: audit.most_mib,
-        overcommits: audit.overcommits,
-        loads: audit.loads,
-        most_requests: audit.most_requests,
+        requests: stats.requests,
+        secrets_seen: stats.secrets_seen,
+        most_mib: stats.peak_mib,
+        overcommits: stats.overcommits,
+        loads: stats.loads,
+        most_requests: stats.peak_requests,
     })
 }
 
-async fn set_faults(engine: Data<Engine>, wanted: Json<EngineFaults>) -> HttpResponse {
-    let wanted = wanted.into_inner();
+async fn set_faults(engine: Data<Engine>, requested: Json<EngineFaults>) -> HttpResponse {
+    let requested = requested.into_inner();
     let mut faults = engine.faults();
-    faults.lose_order_replies = wanted
+    faults.lose_order_replies = requested
         .lose_order_replies
         .unwrap_or(faults.lose_order_replies);
-    faults.leaving = wanted.leaving.unwrap_or(faults.leaving);
-    faults.break_streams = wanted.break_streams.unwrap_or(faults.break_streams);
-    faults.silent = wanted.silent.unwrap_or(faults.silent);
-    faults.cross = wanted.cross.unwrap_or(faults.cross);
+    faults.leaving = requested.leaving.unwrap_or(faults.leaving);
+    faults.break_streams = requested.break_streams.unwrap_or(faults.break_streams);
+    faults.hanging_requests = requested
+        .hanging_requests
+        .unwrap_or(faults.hanging_requests);
+    faults.wrong_attempts = requested.wrong_attempts.unwrap_or(faults.wrong_attempts);
     HttpResponse::Ok().finish()
 }
 
@@ -272,7 +277,7 @@
     stream_options: Value,
 }
 
-struct Plan {
+struct Completion {
     chat: bool,
     model: String,
     tokens: u64,
@@ -282,7 +287,7 @@
 }
 
 async fn complete(engine: Data<Engine>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    note_secrets(&engine, request.headers());
+    count_secrets(&engine, request.headers());
     if let Some(text) = &engine.args.crash_on
         && String::from_utf8_lossy(&body).contains(text.as_str())
     {
@@ -296,43 +301,43 @@
     }
     let replica = header(request.headers(), "x-apricotwell-replica");
     let replica = replica.and_then(|text| text.parse().ok());
-    let found = engine.state().find(replica, &parsed.model);
+    let found = engine.state().find_replica(replica, &parsed.model);
     let Some(replica) = found else {
         return not_run(404, "the replica is not loaded");
     };
     engine.state().begin_request(replica);
-    let running = Running {
+    let guard = RequestGuard {
         engine: engine.get_ref().clone(),
         replica,
     };
-    let silent = take_one(&mut engine.faults().silent);
-    if silent {
+    let hangs = consume_fault(&mut engine.faults().hanging_requests);
+    if hangs {
         sleep(Duration::from_secs(3600)).await;
     }
-    let breaks = take_one(&mut engine.faults().break_streams);
-    let plan = make_plan(&parsed, request.path(), breaks);
+    let breaks = consume_fault(&mut engine.faults().break_streams);
+    let completion = plan_completion(&parsed, request.path(), breaks);
     let mut attempt = header(request.headers(), "x-attempt-id").unwrap_or_default();
-    if take_one(&mut engine.faults().cross) {
+    if consume_fault(&mut engine.faults().wrong_attempts) {
         attempt.push_str(" of another");
     }
     sleep(Duration::from_millis(engine.args.first_token_ms)).await;
     if parsed.stream {
-        answer_stream(running, plan, &attempt)
+        stream_completion(guard, completion, &attempt)
     } else {
-        let pause = Duration::from_millis(engine.args.token_ms) * plan.tokens as u32;
+        let pause = Duration::from_millis(engine.args.token_ms) * completion.tokens as u32;
         sleep(pause).await;
-        answer_whole(running, &plan, &attempt)
+        send_completion(guard, &completion, &attempt)
     }
 }
 
-fn make_plan(body: &CompletionBody, path: &str, breaks: bool) -> Plan {
+fn plan_completion(body: &CompletionBody, path: &str, breaks: bool) -> Completion {
     let prompt = if body.messages.is_null() {
         body.prompt.to_string()
     } else {
         body.messages.to_string()
     };
     let limit = body.max_tokens.or(body.max_completion_tokens);
-    Plan {
+    Completion {
         chat: path.contains("chat"),
         model: body.model.clone(),
         tokens: limit.unwrap_or(16).min(4096),
@@ -342,21 +347,24 @@
     }
 }
 
-fn take_one(count: &mut u32) -> bool {
+fn consume_fault(count: &mut u32) -> bool {
     let any = *count > 0;
     *count = count.saturating_sub(1);
     any
 }
 
-fn note_secrets(engine: &Engine, headers: &HeaderMap) {
-    let secret = [
+fn count_secrets(engine: &Engine, headers: &HeaderMap) {
+    let secret_headers = [
         "authorization",
         "cookie",
         "proxy-authorization",
         "x-api-key",
     ];
-    if secret.iter().any(|name| headers.contains_key(*name)) {
-        engine.state().note_secret();
+    if secret_headers
+        .iter()
+        .any(|name| headers.contains_key(*name))
+    {
+        engine.state().count_secret();
     }
 }
 
@@ -373,43 +381,43 @@
         .json(json!({"error": {"message": reason}}))
 }
 
-fn answer_whole(running: Running, plan: &Plan, attempt: &str) -> HttpResponse {
-    let text: String = (0..plan.tokens).map(word).collect();
-    let choice = if plan.chat {
+fn send_completion(guard: RequestGuard, completion: &Completion, attempt: &str) -> HttpResponse {
+    let text: String = (0..completion.tokens).map(word).collect();
+    let choice = if completion.chat {
         json!({"index": 0, "finish_reason": "stop",
                "message": {"role": "assistant", "content": text}})
     } else {
         json!({"index": 0, "finish_reason": "stop", "text": text})
     };
     let body = json!({
-        "id": "cmpl-1", "object": object(plan), "created": 0, "model": plan.model,
-        "choices": [choice], "usage": usage(plan), "x_engine_field": [1, 2.5, null],
+        "id": "cmpl-1", "object": object(completion), "created": 0, "model": completion.model,
+        "choices": [choice], "usage": usage(completion), "x_engine_field": [1, 2.5, null],
     });
-    drop(running);
+    drop(guard);
     HttpResponse::Ok()
         .insert_header(("x-attempt-id", attempt))
         .json(body)
 }
 
-fn answer_stream(running: Running, plan: Plan, attempt: &str) -> HttpResponse {
-    let pause = Duration::from_millis(running.engine.args.token_ms);
+fn stream_completion(guard: RequestGuard, completion: Completion, attempt: &str) -> HttpResponse {
+    let pause = Duration::from_millis(guard.engine.args.token_ms);
     let steps = stream::unfold(
-        (0, running, plan),
-        move |(step, running, plan)| async move {
-            if step > plan.tokens + 2 {
+        (0, guard, completion),
+        move |(step, guard, completion)| async move {
+            if step > completion.tokens + 2 {
                 return None;
             }
-            if plan.breaks && step == 2 {
+            if completion.breaks && step == 2 {
                 return Some((
                     Err(io::Error::other("broken on demand")),
-                    (u64::MAX - 9, running, plan),
+                    (u64::MAX - 9, guard, completion),
                 ));
             }
             if step > 0 && !pause.is_zero() {
                 sleep(pause).await;
             }
-            let event = stream_event(step, &plan);
-            Some((Ok(Bytes::from(event)), (step + 1, running, plan)))
+            let event = stream_event(step, &completion);
+            Some((Ok(Bytes::from(event)), (step + 1, guard, completion)))
         },
     );
     HttpResponse::Ok()
@@ -418,48 +426,49 @@
         .streaming::<_, io::Error>(steps)
 }
 
-// One event for each token, then the finish, the usage when asked for, and the end mark.
-fn stream_event(step: u64, plan: &Plan) -> String {
-    let finish = step == plan.tokens;
-    if step == plan.tokens + 1 {
-        if !plan.usage {
+// Returns one event per token, then the finish reason, the usage (a comment unless requested), and
+// the `[DONE]` event.
+fn stream_event(step: u64, completion: &Completion) -> String {
+    let finish = step == completion.tokens;
+    if step == completion.tokens + 1 {
+        if !completion.usage {
             return ": no usage asked for\n\n".to_owned();
         }
-        let body = json!({"id": "cmpl-1", "object": object(plan), "created": 0,
-            "model": plan.model, "choices": [], "usage": usage(plan)});
+        let body = json!({"id": "cmpl-1", "object": object(completion), "created": 0,
+            "model": completion.model, "choices": [], "usage": usage(completion)});
         return format!("data: {body}\n\n");
     }
-    if step == plan.tokens + 2 {
+    if step == completion.tokens + 2 {
         return "data: [DONE]\n\n".to_owned();
     }
     let reason = if finish { json!("stop") } else { Value::Null };
     let text = if finish { String::new() } else { word(step) };
-    let choice = if plan.chat {
+    let choice = if completion.chat {
         json!({"index": 0, "finish_reason": reason, "delta": {"content": text}})
     } else {
         json!({"index": 0, "finish_reason": reason, "text": text})
     };
-    let object = if plan.chat {
+    let object = if completion.chat {
         "chat.completion.chunk"
     } else {
         "text_completion"
     };
-    let body = json!({"id": "cmpl-1", "object": object, "created": 0, "model": plan.model,
+    let body = json!({"id": "cmpl-1", "object": object, "created": 0, "model": completion.model,
         "choices": [choice]});
     format!("data: {body}\n\n")
 }
 
-fn object(plan: &Plan) -> &'static str {
-    if plan.chat {
+fn object(completion: &Completion) -> &'static str {
+    if completion.chat {
         "chat.completion"
     } else {
         "text_completion"
     }
 }
 
-fn usage(plan: &Plan) -> Value {
-    json!({"prompt_tokens": plan.prompt, "completion_tokens": plan.tokens,
-           "total_tokens": plan.prompt + plan.tokens})
+fn usage(completion: &Completion) -> Value {
+    json!({"prompt_tokens": completion.prompt, "completion_tokens": completion.tokens,
+           "total_tokens": completion.prompt + completion.tokens})
 }
 
 fn word(step: u64) -> String {
--- a/crates/apricotwell_standins/src/lib.rs
+++ b/crates/apricotwell_standins/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for the platform, model engines and plain services.
 //!
-//! They speak the interfaces of `docs/INTERFACES.md`, fail on demand through `POST /faults`, and
-//! keep an audit that tests read: what ran, how much memory was taken, whether a key was seen.
-//! No shipped binary depends on this crate.
+//! They implement the interfaces in `docs/INTERFACES.md`. Tests inject faults with `POST /faults`
+//! and read with `GET /audit` which requests ran, how much memory was used and whether an API key
+//! was seen. No released binary depends on this crate.
 //!
 //! # Examples
 //!
@@ -11,8 +11,8 @@
 //! use apricotwell_standins::WeightStore;
 //!
 //! let mut store = WeightStore::new(1, Duration::from_millis(100));
-//! assert_eq!(store.begin(), Duration::from_millis(100));
-//! assert_eq!(store.begin(), Duration::from_millis(200));
+//! assert_eq!(store.begin_load(), Duration::from_millis(100));
+//! assert_eq!(store.begin_load(), Duration::from_millis(200));
 //! ```
 
 mod engine;
@@ -20,7 +20,7 @@
 mod service;
 mod weight_store;
 
-pub use apricotwell_fakes::{EngineAudit, EngineState, LogStreams};
+pub use apricotwell_fakes::{EngineState, EngineStats, LogStreams};
 pub use engine::{EngineArgs, run_engine};
 pub use platform::{PlatformArgs, PlatformFaults, run_platform};
 pub use service::{ServiceArgs, ServiceAudit, run_service};
--- a/crates/apricotwell_standins/src/platform.rs
+++ b/crates/apricotwell_standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform: log, list of instances and weight store.
+//! Stand-in for the platform: log, instance list and weight store.
 
 use std::io;
 use std::path::PathBuf;
@@ -18,7 +18,7 @@
 
 use crate::WeightStore;
 
-/// Stand-in for the platform: an append-only log, a list of instances and a weight store.
+/// Stand-in for the platform: an append-only log, an instance list and a weight store.
 ///
 /// Faults are set with `POST /faults`; see docs/INTERFACES.md.
 #[derive(argh::FromArgs, Clone, Debug)]
@@ -26,42 +26,42 @@
     /// address to listen on, as ip:port
     #[argh(option, default = "String::from(\"127.0.0.1:7600\")")]
     pub listen: String,
-    /// TOML file with the list of instances
+    /// TOML file with the instance list
     #[argh(option)]
     pub instances: PathBuf,
-    /// model loads in flight at full speed
+    /// maximum number of concurrent model loads at full speed
     #[argh(option, default = "4")]
     pub parallel_loads: u32,
-    /// milliseconds of one model load at full speed
+    /// duration of one model load at full speed, in milliseconds
     #[argh(option, default = "500")]
     pub load_ms: u64,
-    /// adapter loads in flight at full speed
+    /// maximum number of concurrent adapter loads at full speed
     #[argh(option, default = "32")]
     pub parallel_adapters: u32,
-    /// milliseconds of one adapter load at full speed
+    /// duration of one adapter load at full speed, in milliseconds
     #[argh(option, default = "20")]
     pub adapter_ms: u64,
 }
 
-/// Faults of the platform; absent fields stay as they are.
+/// Change of the platform's faults, as received by `POST /faults`. Absent fields keep their value.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Whether the log refuses appends and reads.
+    /// Whether the log rejects appends and reads.
     pub log_down: Option<bool>,
-    /// Number of appends that take effect without an answer.
+    /// Number of upcoming appends that take effect but whose reply is lost.
     pub lose_replies: Option<u32>,
-    /// Milliseconds that each append takes longer.
+    /// Additional duration of each append, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Factor by which the weight store is slower.
+    /// Factor by which weight store loads take longer.
     pub store_factor: Option<u32>,
-    /// Instance that is marked as leaving.
+    /// Instance to mark as leaving.
     pub leaving: Option<String>,
-    /// Instance that is taken off the list.
+    /// Instance to remove from the list.
     pub remove: Option<String>,
-    /// Instance that is put on the list.
+    /// Instance to add to the list, or to replace in it.
     pub add: Option<InstanceBody>,
-    /// Stream and first offset to keep.
+    /// Stream to truncate, and the first offset to retain.
     pub expire: Option<(String, u64)>,
 }
 
@@ -74,7 +74,7 @@
     log: LogStreams,
     down: bool,
     lose_replies: u32,
-    slow: Duration,
+    append_delay: Duration,
     instances: Vec<InstanceBody>,
     models: WeightStore,
     adapters: WeightStore,
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the list can't be read or the address can't be bound.
+/// Returns an error if the list can't be read or the address can't be bound.
 pub async fn run_platform(args: PlatformArgs) -> io::Result<()> {
     let text = std::fs::read_to_string(&args.instances)?;
     let file: InstancesFile = toml::from_str(&text).map_err(io::Error::other)?;
@@ -105,7 +105,7 @@
             log: LogStreams::default(),
             down: false,
             lose_replies: 0,
-            slow: Duration::ZERO,
+            append_delay: Duration::ZERO,
             instances: file.instance,
             models: WeightStore::new(args.parallel_loads, Duration::from_millis(args.load_ms)),
             adapters: WeightStore::new(
@@ -123,7 +123,7 @@
             .route("/log/{stream}", web::get().to(read))
             .route("/instances", web::get().to(instances))
             .route("/weights", web::get().to(weights))
-            .route("/faults", web::post().to(faults))
+            .route("/faults", web::post().to(set_faults))
     };
     HttpServer::new(app)
         .workers(1)
@@ -136,11 +136,11 @@
 
 async fn append(platform: Data<Platform>, stream: Path<String>, body: Bytes) -> HttpResponse {
     let Ok(batch) = RecordBatch::decode(body) else {
-        return HttpResponse::BadRequest().body("the body is no batch of records");
+        return HttpResponse::BadRequest().body("the body is not a valid batch of records");
     };
-    let slow = platform.lock().slow;
-    if !slow.is_zero() {
-        sleep(slow).await;
+    let delay = platform.lock().append_delay;
+    if !delay.is_zero() {
+        sleep(delay).await;
     }
     let (first, lost) = {
         let mut inner = platform.lock();
@@ -176,29 +176,30 @@
         let appended = platform.appended.notified();
         tokio::pin!(appended);
         appended.as_mut().enable();
-        let slice = {
+        let result = {
             let inner = platform.lock();
             if inner.down {
                 return HttpResponse::ServiceUnavailable().body("the log is down");
             }
             inner.log.read(&stream, query.from)
         };
-        match slice {
+        match result {
             Err(ReadError::Expired(first)) => {
                 return HttpResponse::Gone().json(ExpiredReply { first });
             }
             Ok(batch) if !batch.records.is_empty() || Instant::now() >= deadline => {
-                return HttpResponse::Ok().body(slice_of(batch).encode_to_vec());
+                return HttpResponse::Ok().body(stream_slice(batch).encode_to_vec());
             }
             Ok(_) | Err(ReadError::Unreachable) => {
-                // Woken or not, the loop looks again.
+                // The loop checks the stream and the deadline again, whether the wait timed out or
+                // not.
                 let _ = timeout_at(deadline, appended).await;
             }
         }
     }
 }
 
-fn slice_of(batch: LogBatch) -> StreamSlice {
+fn stream_slice(batch: LogBatch) -> StreamSlice {
     StreamSlice {
         first: batch.first,
         end: batch.end,
@@ -217,33 +218,35 @@
 }
 
 async fn weights(platform: Data<Platform>, query: Query<WeightsQuery>) -> HttpResponse {
-    let pause = {
+    let load_time = {
         let mut inner = platform.lock();
         if query.adapter {
-            inner.adapters.begin()
+            inner.adapters.begin_load()
         } else {
-            inner.models.begin()
+            inner.models.begin_load()
         }
     };
-    sleep(pause).await;
+    sleep(load_time).await;
     let mut inner = platform.lock();
     if query.adapter {
-        inner.adapters.end();
+        inner.adapters.end_load();
     } else {
-        inner.models.end();
+        inner.models.end_load();
     }
     HttpResponse::Ok().finish()
 }
 
-async fn faults(platform: Data<Platform>, faults: Json<PlatformFaults>) -> HttpResponse {
+async fn set_faults(platform: Data<Platform>, faults: Json<PlatformFaults>) -> HttpResponse {
     let faults = faults.into_inner();
     let mut inner = platform.lock();
     inner.down = faults.log_down.unwrap_or(inner.down);
     inner.lose_replies = faults.lose_replies.unwrap_or(inner.lose_replies);
-    inner.slow = faults.slow_ms.map_or(inner.slow, Duration::from_millis);
+    inner.append_delay = faults
+        .slow_ms
+        .map_or(inner.append_delay, Duration::from_millis);
     if let Some(factor) = faults.store_factor {
-        inner.models.factor = factor;
-        inner.adapters.factor = factor;
+        inner.models.slowdown = factor;
+        inner.adapters.slowdown = factor;
     }
     if let Some(id) = faults.leaving {
         let found = inner.instances.iter_mut().find(|listed| listed.id == id);
--- a/crates/apricotwell_standins/src/service.rs
+++ b/crates/apricotwell_standins/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service whose calls may not be repeated.
+//! Stand-in for a plain service whose requests aren't idempotent.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,35 +12,35 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-/// Stand-in for a plain service: counts each call that it runs.
+/// Stand-in for a plain service that counts how often it runs each request.
 ///
-/// Faults are set with `POST /faults`, what happened is read from `GET /audit`.
+/// Faults are set with `POST /faults`; `GET /audit` returns the counts.
 #[derive(argh::FromArgs, Clone, Debug)]
 pub struct ServiceArgs {
     /// address to listen on, as ip:port
     #[argh(option)]
     pub listen: String,
-    /// milliseconds that a call takes
+    /// duration of a request, in milliseconds
     #[argh(option, default = "5")]
     pub call_ms: u64,
 }
 
-/// What a service ran, for tests.
+/// Counts of the requests that a service ran, for tests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAudit {
-    /// How often each body ran.
+    /// Number of runs by request body.
     pub runs: BTreeMap<String, u32>,
-    /// Calls that came with a key, a cookie or an authorisation header.
+    /// Number of requests that arrived with an API key, a cookie or an authorisation header.
     pub secrets_seen: u64,
 }
 
-/// Faults of a service; absent fields stay as they are.
+/// Faults of a service. In `POST /faults`, absent fields keep their value.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ServiceFaults {
-    /// Number of calls that run without an answer.
+    /// Number of upcoming requests that run but whose response is lost.
     lose_replies: Option<u32>,
-    /// Milliseconds that a call takes.
+    /// Duration of a request, in milliseconds.
     call_ms: Option<u64>,
 }
 
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn run_service(args: ServiceArgs) -> io::Result<()> {
     let service = Service {
         audit: Arc::default(),
@@ -73,7 +73,7 @@
             .app_data(web::PayloadConfig::new(16 << 20))
             .route("/audit", web::get().to(audit))
             .route("/faults", web::post().to(set_faults))
-            .default_service(web::to(call))
+            .default_service(web::to(run))
     };
     HttpServer::new(app)
         .workers(1)
@@ -88,47 +88,48 @@
     HttpResponse::Ok().json(&*lock(&service.audit))
 }
 
-async fn set_faults(service: Data<Service>, wanted: Json<ServiceFaults>) -> HttpResponse {
+async fn set_faults(service: Data<Service>, requested: Json<ServiceFaults>) -> HttpResponse {
     let mut faults = lock(&service.faults);
-    faults.lose_replies = wanted.lose_replies.or(faults.lose_replies);
-    faults.call_ms = wanted.call_ms.or(faults.call_ms);
+    faults.lose_replies = requested.lose_replies.or(faults.lose_replies);
+    faults.call_ms = requested.call_ms.or(faults.call_ms);
     HttpResponse::Ok().finish()
 }
 
-async fn call(service: Data<Service>, request: HttpRequest, body: Bytes) -> HttpResponse {
+async fn run(service: Data<Service>, request: HttpRequest, body: Bytes) -> HttpResponse {
     let text = String::from_utf8_lossy(&body).into_owned();
-    let run = {
+    let runs = {
         let mut audit = lock(&service.audit);
-        let secret = [
+        let secret_headers = [
             "authorization",
             "cookie",
             "proxy-authorization",
             "x-api-key",
         ];
-        if secret
+        if secret_headers
             .iter()
             .any(|name| request.headers().contains_key(*name))
         {
             audit.secrets_seen += 1;
         }
-        let run = audit.runs.entry(text).or_default();
-        *run += 1;
-        *run
+        let runs = audit.runs.entry(text).or_default();
+        *runs += 1;
+        *runs
     };
-    let (pause, lost) = {
+    let (duration_ms, lost) = {
         let mut faults = lock(&service.faults);
-        let left = faults.lose_replies.unwrap_or(0);
-        faults.lose_replies = Some(left.saturating_sub(1));
-        (faults.call_ms.unwrap_or(0), left > 0)
+        let remaining = faults.lose_replies.unwrap_or(0);
+        faults.lose_replies = Some(remaining.saturating_sub(1));
+        (faults.call_ms.unwrap_or(0), remaining > 0)
     };
-    sleep(Duration::from_millis(pause)).await;
+    sleep(Duration::from_millis(duration_ms)).await;
     if lost {
-        let broken = stream::once(async { Err::<Bytes, _>(io::Error::other("lost on demand")) });
-        return HttpResponse::Ok().no_chunking(64).streaming(broken);
+        let broken_stream =
+            stream::once(async { Err::<Bytes, _>(io::Error::other("lost on demand")) });
+        return HttpResponse::Ok().no_chunking(64).streaming(broken_stream);
     }
     let attempt = request.headers().get("x-attempt-id");
     let attempt = attempt.and_then(|value| value.to_str().ok()).unwrap_or("");
     HttpResponse::Ok()
         .insert_header(("x-attempt-id", attempt))
-        .json(json!({"path": request.path(), "run": run}))
+        .json(json!({"path": request.path(), "run": runs}))
 }
--- a/crates/apricotwell_standins/src/weight_store.rs
+++ b/crates/apricotwell_standins/src/weight_store.rs
@@ -1,39 +1,39 @@
-//! Weight store with limits on loads in flight.
+//! Model of a weight store whose speed is shared by concurrent loads.
 
 use std::time::Duration;
 
-/// Time that a load takes, by what is in flight.
+/// Weight store that computes the duration of loads from the number of loads in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct WeightStore {
-    /// Loads in flight at full speed.
+    /// Maximum number of concurrent loads at full speed.
     pub parallel: u32,
-    /// Time of one load at full speed.
-    pub load: Duration,
-    /// Factor by which the store is slower than usual.
-    pub factor: u32,
+    /// Duration of one load at full speed.
+    pub load_time: Duration,
+    /// Factor by which loads take longer than usual.
+    pub slowdown: u32,
     in_flight: u32,
 }
 
 impl WeightStore {
-    /// Returns a store at its usual speed.
-    pub fn new(parallel: u32, load: Duration) -> Self {
+    /// Creates a store without a slowdown.
+    pub fn new(parallel: u32, load_time: Duration) -> Self {
         Self {
             parallel,
-            load,
-            factor: 1,
+            load_time,
+            slowdown: 1,
             in_flight: 0,
         }
     }
 
-    /// Begins a load and returns the time that it takes.
-    pub fn begin(&mut self) -> Duration {
+    /// Starts a load and returns its duration.
+    pub fn begin_load(&mut self) -> Duration {
         self.in_flight += 1;
         let share = self.in_flight.div_ceil(self.parallel.max(1));
-        self.load * share * self.factor
+        self.load_time * share * self.slowdown
     }
 
     /// Ends a load.
-    pub fn end(&mut self) {
+    pub fn end_load(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
