--- a/crates/apricotwell_entry/tests/connections.rs
+++ b/crates/apricotwell_entry/tests/connections.rs
@@ -11,7 +11,7 @@
 
 fn fleet(name: &str) -> LocalFleet {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_apricotwell-entry"));
-    let mut options = FleetOptions::kitchen(program, name);
+    let mut options = FleetOptions::basic(program, name);
     options.instances = 1;
     options.settings = "[requests]\nfirst_byte_ms = 500\nprogress_ms = 500\n\
                         [callers]\nstalled_caller_ms = 700\nhead_timeout_ms = 500\n\
@@ -28,7 +28,7 @@
 #[test]
 fn an_engine_that_goes_silent_is_given_up_and_the_request_tried_again() {
     let fleet = fleet("silent");
-    fleet.fault(fleet.engine(0), r#"{"silent":1}"#);
+    fleet.set_faults(fleet.engine(0), r#"{"silent":1}"#);
     let began = Instant::now();
     let answer = fleet.chat(0, "hadegisbru", CHAT);
     assert_eq!(answer.status, 200, "{answer:?}");
@@ -39,11 +39,11 @@
 #[test]
 fn an_answer_to_another_attempt_reaches_no_caller() {
     let fleet = fleet("crossed");
-    fleet.fault(fleet.engine(0), r#"{"cross":1}"#);
+    fleet.set_faults(fleet.engine(0), r#"{"cross":1}"#);
     let answer = fleet.chat(0, "hadegisbru", CHAT);
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(!answer.head.contains("of another"), "{answer:?}");
-    fleet.fault(fleet.engine(0), r#"{"cross":9}"#);
+    fleet.set_faults(fleet.engine(0), r#"{"cross":9}"#);
     let answer = fleet.chat(0, "hadegisbru", CHAT);
     assert_eq!(answer.status, 502, "{answer:?}");
     assert!(answer.body.contains("outcome_unknown"), "{answer:?}");
@@ -63,7 +63,7 @@
 
 fn begin(fleet: &LocalFleet, body: &str) -> TcpStream {
     let mut stream = TcpStream::connect(fleet.address(0)).unwrap();
-    let key = LocalFleet::key("hadegisbru");
+    let key = LocalFleet::api_key("hadegisbru");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {key}\r\n\
          content-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
@@ -94,7 +94,7 @@
 #[test]
 fn bad_input_gets_its_answer_and_leaves_no_memory_behind() {
     let fleet = fleet("bad-input");
-    let key = LocalFleet::key("hadegisbru");
+    let key = LocalFleet::api_key("hadegisbru");
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     let auth = format!("{head}authorization: Bearer {key}\r\n");
     let flood: String = (0..400)
@@ -126,7 +126,7 @@
     ];
     let mut wrong = Vec::new();
     for (name, request, expected) in &table {
-        let answer = apricotwell_local::exchange(fleet.address(0), request);
+        let answer = apricotwell_local::send_raw(fleet.address(0), request);
         if !expected.contains(&answer.status) {
             wrong.push(format!("{name}: {answer:?}"));
         }
@@ -136,7 +136,7 @@
     for _ in 0..4 {
         for (name, request, _) in &table {
             if !name.starts_with("slow") && !name.starts_with("truncated") {
-                apricotwell_local::exchange(fleet.address(0), request);
+                apricotwell_local::send_raw(fleet.address(0), request);
             }
         }
     }
--- a/crates/apricotwell_entry/tests/processes.rs
+++ b/crates/apricotwell_entry/tests/processes.rs
@@ -27,7 +27,7 @@
 #[test]
 fn kills_pauses_and_key_changes_break_nothing() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_apricotwell-entry"));
-    let mut options = FleetOptions::kitchen(program, "processes");
+    let mut options = FleetOptions::basic(program, "processes");
     options.instances = 9;
     options.fencing_engines = 2;
     options.plain_engines = 2;
@@ -59,7 +59,7 @@
     });
 
     // An order goes on with most of the fleet, and its repeats meet its answer.
-    let key = LocalFleet::key("hadegisbru");
+    let key = LocalFleet::api_key("hadegisbru");
     let headers = [("idempotency-key", "week 1")];
     let order = |fleet: &LocalFleet, index: usize| {
         fleet
@@ -123,7 +123,7 @@
     assert!(!decided.is_empty());
     for (name, text) in fleet.outputs() {
         for organisation in ["hadegisbru", "haneul"] {
-            let key = LocalFleet::key(organisation);
+            let key = LocalFleet::api_key(organisation);
             assert!(!text.contains(&key), "{name} holds a key");
         }
     }
--- a/crates/apricotwell_entry/tests/sessions.rs
+++ b/crates/apricotwell_entry/tests/sessions.rs
@@ -2,12 +2,12 @@
 
 use std::path::PathBuf;
 
-use apricotwell_local::{FleetOptions, LocalFleet, normalise};
+use apricotwell_local::{FleetOptions, LocalFleet, normalise_response};
 use expect_test::expect_file;
 
 fn options(name: &str) -> FleetOptions {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_apricotwell-entry"));
-    FleetOptions::kitchen(program, name)
+    FleetOptions::basic(program, name)
 }
 
 fn chat(stream: bool) -> String {
@@ -17,59 +17,59 @@
 }
 
 fn order(fleet: &LocalFleet, index: usize, idempotency_key: &str, body: &str) -> String {
-    let key = LocalFleet::key("hadegisbru");
+    let key = LocalFleet::api_key("hadegisbru");
     let headers = [("idempotency-key", idempotency_key)];
-    normalise(&fleet.post(index, "/orders/week", &key, &headers, body))
+    normalise_response(&fleet.post(index, "/orders/week", &key, &headers, body))
 }
 
 #[test]
 fn completions() {
     let fleet = LocalFleet::start(options("completions"));
-    let key = LocalFleet::key("hadegisbru");
+    let key = LocalFleet::api_key("hadegisbru");
     let path = "/v1/chat/completions";
     let mut text = String::new();
     let mut note = |name: &str, answer: String| text.push_str(&format!("== {name}\n{answer}\n"));
     note(
         "chat, streamed",
-        normalise(&fleet.chat(0, "hadegisbru", &chat(true))),
+        normalise_response(&fleet.chat(0, "hadegisbru", &chat(true))),
     );
     note(
         "chat, whole",
-        normalise(&fleet.chat(0, "hadegisbru", &chat(false))),
+        normalise_response(&fleet.chat(0, "hadegisbru", &chat(false))),
     );
     let plain = r#"{"model":"menu-writer","prompt":"Soup","max_tokens":2}"#;
     let answer = fleet.post(0, "/v1/completions", &key, &[], plain);
-    note("plain completion", normalise(&answer));
+    note("plain completion", normalise_response(&answer));
     let usage = "\"stream\":true,\"stream_options\":{\"include_usage\":true}";
     let usage = chat(true).replace("\"stream\":true", usage);
     note(
         "chat, streamed with usage",
-        normalise(&fleet.chat(0, "hadegisbru", &usage)),
+        normalise_response(&fleet.chat(0, "hadegisbru", &usage)),
     );
     let unknown = chat(false).replace("menu-writer", "unknown");
     note(
         "unknown model",
-        normalise(&fleet.chat(0, "hadegisbru", &unknown)),
+        normalise_response(&fleet.chat(0, "hadegisbru", &unknown)),
     );
     let answer = fleet.post(0, path, "aw-wrong", &[], &chat(false));
-    note("wrong key", normalise(&answer));
+    note("wrong key", normalise_response(&answer));
     note(
         "unknown path",
-        normalise(&fleet.post(0, "/unknown", &key, &[], "{}")),
+        normalise_response(&fleet.post(0, "/unknown", &key, &[], "{}")),
     );
     let answer = fleet.post(0, path, &key, &[("x-deadline-ms", "soon")], &chat(false));
-    note("bad deadline", normalise(&answer));
+    note("bad deadline", normalise_response(&answer));
     let large = chat(false)
         .replace("\"max_tokens\":3", "\"max_tokens\":131000")
         .replace("Soup?", &"Soup? ".repeat(200_000));
     note(
         "beyond the burst",
-        normalise(&fleet.chat(0, "hadegisbru", &large)),
+        normalise_response(&fleet.chat(0, "hadegisbru", &large)),
     );
     let leak = chat(false).replace("Soup?", &key);
     note(
         "key in the body",
-        normalise(&fleet.chat(0, "hadegisbru", &leak)),
+        normalise_response(&fleet.chat(0, "hadegisbru", &leak)),
     );
     expect_file!["sessions/completions.txt"].assert_eq(&text);
     assert_eq!(fleet.audit(fleet.engine(0))["secrets_seen"], 0);
@@ -82,7 +82,7 @@
     let took = fleet.publish("/teams/hadegisbru/keys/main", None);
     let mut text = format!("== before\nstatus {}\n", before.status);
     for index in 0..3 {
-        let after = normalise(&fleet.chat(index, "hadegisbru", &chat(false)));
+        let after = normalise_response(&fleet.chat(index, "hadegisbru", &chat(false)));
         text.push_str(&format!("== after, entry-{}\n{after}\n", index + 1));
     }
     expect_file!["sessions/withdrawn_key.txt"].assert_eq(&text);
@@ -99,10 +99,10 @@
     }
     let other = order(&fleet, 0, "week 12", "{\"lettuce\":4}");
     text.push_str(&format!("== same key, other body\n{other}\n"));
-    let key = LocalFleet::key("hadegisbru");
-    let without = normalise(&fleet.post(0, "/orders/week", &key, &[], "{}"));
+    let key = LocalFleet::api_key("hadegisbru");
+    let without = normalise_response(&fleet.post(0, "/orders/week", &key, &[], "{}"));
     text.push_str(&format!("== without a key\n{without}\n"));
-    fleet.fault(fleet.service(), r#"{"lose_replies":1}"#);
+    fleet.set_faults(fleet.service(), r#"{"lose_replies":1}"#);
     for index in [0, 2] {
         let lost = order(&fleet, index, "week 13", "{\"lettuce\":5}");
         text.push_str(&format!("== lost answer, entry-{}\n{lost}\n", index + 1));
@@ -118,8 +118,8 @@
 fn engine_breaks_mid_stream() {
     let fleet = LocalFleet::start(options("breaks"));
     assert_eq!(fleet.chat(0, "hadegisbru", &chat(false)).status, 200);
-    fleet.fault(fleet.engine(0), r#"{"break_streams":1}"#);
-    let broken = normalise(&fleet.chat(0, "hadegisbru", &chat(true)));
+    fleet.set_faults(fleet.engine(0), r#"{"break_streams":1}"#);
+    let broken = normalise_response(&fleet.chat(0, "hadegisbru", &chat(true)));
     expect_file!["sessions/engine_breaks_mid_stream.txt"].assert_eq(&broken);
 }
 
@@ -143,7 +143,7 @@
         });
         stream.join()
     });
-    let answer = normalise(&answer.expect("an answer"));
+    let answer = normalise_response(&answer.expect("an answer"));
     expect_file!["sessions/shutdown_during_a_stream.txt"].assert_eq(&answer);
     assert_eq!(fleet.wait_for_exit(0), Some(0));
 }
@@ -169,7 +169,10 @@
     let answer = answer.expect("an answer");
     // A signal before the first event brings a whole refusal: there is nothing to tear.
     let refused = answer.status == 503 && !answer.body.contains("data:");
-    assert!(answer.torn || refused, "half an answer must not look whole");
+    assert!(
+        answer.truncated || refused,
+        "half an answer must not look whole"
+    );
     let told = answer.body.contains("\"outcome\":\"outcome_unknown\"");
     assert!(told, "{}", answer.body);
 }
--- a/crates/apricotwell_local/src/fleet.rs
+++ b/crates/apricotwell_local/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet.
+//! Local fleet of entry instances and stand-ins.
 
 use std::fmt::Write;
 use std::net::TcpListener;
@@ -15,21 +15,21 @@
 };
 use apricotwell_types::KeyDigest;
 
-use crate::exchange::{Exchange, exchange};
+use crate::raw_http::{RawResponse, send_raw};
 
-/// Longest time in which a fleet must come up.
-const START_LIMIT: Duration = Duration::from_secs(30);
+/// Time within which a fleet must start, and within which a condition must hold.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// First port of the range that fleets use.
 const FIRST_PORT: u16 = 12_000;
-/// Ports of one test process.
+/// Number of ports for each test process.
 const PORTS_PER_PROCESS: u16 = 400;
-/// Test processes with ports of their own.
+/// Number of port ranges. A test process uses the range given by its process id modulo this number.
 const PROCESSES: u32 = 45;
-/// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Period at which a condition is polled.
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// Configuration of the fleet that most tests use.
-const KITCHEN: &str = r#"
+const BASIC_DOCUMENT: &str = r#"
 ["/platform/pools/engines"]
 kind = "engine"
 memory_mib = 48000
@@ -54,34 +54,35 @@
 models = ["menu-writer"]
 "#;
 
-/// What a fleet consists of.
+/// Options of a local fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Path of the entry daemon's program.
+    /// Path of the entry daemon's executable.
     pub program: PathBuf,
-    /// Name of the fleet's folder.
+    /// Name of the fleet, used in the path of its temporary directory.
     pub name: String,
-    /// Entry instances.
+    /// Number of entry instances.
     pub instances: usize,
-    /// Model engines that refuse old fencing numbers.
+    /// Number of model engines that reject stale fencing tokens.
     pub fencing_engines: usize,
-    /// Model engines that ignore fencing numbers.
+    /// Number of model engines that ignore fencing tokens.
     pub plain_engines: usize,
-    /// Milliseconds of one model load.
+    /// Duration of one model load, in milliseconds.
     pub load_ms: u64,
-    /// Milliseconds between two tokens.
+    /// Time between two tokens, in milliseconds.
     pub token_ms: u64,
-    /// TOML text added to each instance's settings.
+    /// TOML text appended to the settings of each instance.
     pub settings: String,
-    /// Document of configuration to publish.
+    /// Configuration document to publish, as TOML text.
     pub document: String,
-    /// Organisations that get a key each.
+    /// Organisations for each of which an API key is published.
     pub organisations: Vec<String>,
 }
 
 impl FleetOptions {
-    /// Returns a fleet of three instances, one engine and one service, with one organisation.
-    pub fn kitchen(program: PathBuf, name: &str) -> Self {
+    /// Returns the options of a fleet of three instances, one engine and one service, with one
+    /// organisation.
+    pub fn basic(program: PathBuf, name: &str) -> Self {
         Self {
             program,
             name: name.to_owned(),
@@ -91,22 +92,24 @@
             load_ms: 50,
             token_ms: 2,
             settings: "[shutdown]\nlookup_lifetime_ms = 300\n".to_owned(),
-            document: KITCHEN.to_owned(),
+            document: BASIC_DOCUMENT.to_owned(),
             organisations: vec!["hadegisbru".to_owned()],
         }
     }
 }
 
-/// Instance as a process.
+/// Entry instance that runs as a child process.
 #[derive(Debug)]
 struct Instance {
     id: String,
-    caller_address: String,
+    client_address: String,
     settings: PathBuf,
     child: Option<Child>,
 }
 
-/// Fleet of real processes.
+/// Fleet of entry instances as processes, and stand-ins as threads.
+///
+/// Dropping it kills the processes and deletes its directory.
 #[derive(Debug)]
 pub struct LocalFleet {
     options: FleetOptions,
@@ -122,7 +125,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when a part does not come up: the test can't go on.
+    /// Panics if an instance or stand-in doesn't start, because the test can't continue.
     pub fn start(options: FleetOptions) -> Self {
         let folder = std::env::temp_dir().join(format!(
             "apricotwell-{}-{}",
@@ -130,7 +133,7 @@
             std::process::id()
         ));
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a temporary folder");
+        std::fs::create_dir_all(&folder).expect("can't create the fleet's directory");
         let count = options.fencing_engines + options.plain_engines;
         let mut fleet = Self {
             folder,
@@ -152,9 +155,9 @@
         fleet
     }
 
-    /// Returns the address for callers of an instance.
+    /// Returns the address on which an instance serves clients.
     pub fn address(&self, index: usize) -> &str {
-        &self.instances[index].caller_address
+        &self.instances[index].client_address
     }
 
     /// Returns the address of an engine.
@@ -172,17 +175,17 @@
         &self.platform
     }
 
-    /// Returns the key of an organisation.
-    pub fn key(organisation: &str) -> String {
+    /// Returns the API key of an organisation.
+    pub fn api_key(organisation: &str) -> String {
         format!("aw-test-key-of-{organisation}-0123456789")
     }
 
-    /// Returns the process id of a running instance.
+    /// Returns the process id of an instance, 0 if it isn't running.
     pub fn pid(&self, index: usize) -> u32 {
         self.instances[index].child.as_ref().map_or(0, Child::id)
     }
 
-    /// Returns the texts of all files that the processes wrote.
+    /// Returns the name and text of each event file and log file that the processes wrote.
     pub fn outputs(&self) -> Vec<(String, String)> {
         let files = std::fs::read_dir(&self.folder)
             .into_iter()
@@ -200,7 +203,7 @@
             .collect()
     }
 
-    /// Returns the text of all event files.
+    /// Returns the text of each event file.
     pub fn events(&self) -> Vec<String> {
         let outputs = self.outputs().into_iter();
         outputs
@@ -210,17 +213,17 @@
     }
 
     /// Sends `GET path` to an instance.
-    pub fn get(&self, index: usize, path: &str) -> Exchange {
+    pub fn get(&self, index: usize, path: &str) -> RawResponse {
         get(self.address(index), path)
     }
 
     /// Sends a chat request to an instance.
-    pub fn chat(&self, index: usize, organisation: &str, body: &str) -> Exchange {
-        let key = Self::key(organisation);
+    pub fn chat(&self, index: usize, organisation: &str, body: &str) -> RawResponse {
+        let key = Self::api_key(organisation);
         self.post(index, "/v1/chat/completions", &key, &[], body)
     }
 
-    /// Sends a request with a key to an instance.
+    /// Sends a `POST` request with an API key and additional headers to an instance.
     pub fn post(
         &self,
         index: usize,
@@ -228,44 +231,51 @@
         key: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Exchange {
-        exchange(self.address(index), &post_request(path, key, headers, body))
+    ) -> RawResponse {
+        send_raw(self.address(index), &post_request(path, key, headers, body))
     }
 
-    /// Sends JSON to a stand-in's faults.
-    pub fn fault(&self, address: &str, faults: &str) {
+    /// Sets faults of a stand-in, given as JSON.
+    pub fn set_faults(&self, address: &str, faults: &str) {
         let request = post_request("/faults", "", &[], faults);
-        let reply = exchange(address, &request);
-        assert_eq!(reply.status, 200, "faults of {address}: {reply:?}");
+        let reply = send_raw(address, &request);
+        assert_eq!(
+            reply.status, 200,
+            "setting faults of {address} failed: {reply:?}"
+        );
     }
 
-    /// Returns the audit of a stand-in.
+    /// Returns the response of a stand-in to `GET /audit`, null if it isn't valid JSON.
     pub fn audit(&self, address: &str) -> serde_json::Value {
         let reply = get(address, "/audit");
         serde_json::from_str(&reply.body).unwrap_or_default()
     }
 
-    /// Publishes one value, `None` to delete it, and waits until it is in force everywhere.
+    /// Publishes one configuration value, `None` to delete it, and waits until every instance has
+    /// applied it. Returns the time that this took.
     pub fn publish(&self, path: &str, value: Option<&str>) -> Duration {
         let session = self.session();
         let path = path.to_owned();
         let value = value.map(str::to_owned);
         run_async(move || async move {
             let publisher = Publisher::new(&session);
-            let version = publisher.version(&path).await.expect("an instance answers");
+            let version = publisher
+                .version(&path)
+                .await
+                .expect("no instance answered");
             let (offset, change) = publisher
                 .put(&path, version, value)
                 .await
-                .expect("the log is up");
+                .expect("the log is unavailable");
             let limit = Duration::from_secs(9);
             publisher
                 .wait(&path, offset, change, limit)
                 .await
-                .expect("in force everywhere")
+                .expect("not applied on every instance in time")
         })
     }
 
-    /// Starts an instance, or starts it anew.
+    /// Starts an instance, or restarts it after it has ended.
     pub fn start_instance(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         let log = self.folder.join(format!("{}.log", instance.id));
@@ -280,10 +290,10 @@
             .stdout(Stdio::null())
             .stderr(log.map_or(Stdio::null(), Stdio::from))
             .spawn();
-        instance.child = Some(child.expect("the entry daemon starts"));
+        instance.child = Some(child.expect("can't start the entry daemon"));
     }
 
-    /// Ends an instance without warning.
+    /// Kills an instance and waits until it has ended.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.instances[index].child.take() {
             let _ = child.kill();
@@ -299,36 +309,40 @@
             .status();
         assert!(
             status.is_ok_and(|status| status.success()),
-            "signal {signal}"
+            "can't send signal {signal}"
         );
     }
 
-    /// Waits until an instance has ended by itself and returns its exit code.
+    /// Waits until an instance exits and returns its exit code. Returns `None` if it doesn't exit
+    /// in time or was ended by a signal.
     pub fn wait_for_exit(&mut self, index: usize) -> Option<i32> {
         let child = self.instances[index].child.as_mut()?;
-        let end = Instant::now() + START_LIMIT;
+        let end = Instant::now() + START_TIMEOUT;
         while Instant::now() < end {
             if let Ok(Some(status)) = child.try_wait() {
                 return status.code();
             }
-            thread::sleep(LOOK_PAUSE);
+            thread::sleep(POLL_PERIOD);
         }
         None
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds.
     ///
     /// # Panics
     ///
-    /// Panics when it does not come about in time.
-    pub fn wait_until<F>(&self, what: &str, mut holds: F)
+    /// Panics with `condition` if it doesn't hold in time.
+    pub fn wait_until<F>(&self, condition: &str, mut holds: F)
     where
         F: FnMut(&Self) -> bool,
     {
-        let end = Instant::now() + START_LIMIT;
+        let end = Instant::now() + START_TIMEOUT;
         while !holds(self) {
-            assert!(Instant::now() < end, "not in time: {what}");
-            thread::sleep(LOOK_PAUSE);
+            assert!(
+                Instant::now() < end,
+                "condition doesn't hold in time: {condition}"
+            );
+            thread::sleep(POLL_PERIOD);
         }
     }
 
@@ -343,26 +357,27 @@
     fn publish_all(&self) {
         let mut document = self.options.document.clone();
         for organisation in &self.options.organisations {
-            let digest = KeyDigest::of_secret(&Self::key(organisation)).to_hex();
+            let digest = KeyDigest::of_secret(&Self::api_key(organisation)).to_hex();
             let _ = write!(
                 document,
                 "\n[\"/teams/{organisation}/keys/main\"]\ndigest = \"{digest}\"\n"
             );
         }
-        let document = Document::from_toml("document", &document).expect("a valid document");
+        let document =
+            Document::from_toml("document", &document).expect("invalid configuration document");
         let session = self.session();
         run_async(move || async move {
             let publisher = Publisher::new(&session);
             let mut last = None;
             for (path, value) in document.values() {
                 let put = publisher.put(path, 0, Some(value.to_owned())).await;
-                last = Some((path.to_owned(), put.expect("the log is up")));
+                last = Some((path.to_owned(), put.expect("the log is unavailable")));
             }
             if let Some((path, (offset, change))) = last {
                 let wait = publisher
                     .wait(&path, offset, change, Duration::from_secs(9))
                     .await;
-                wait.expect("in force everywhere");
+                wait.expect("not applied on every instance in time");
             }
         });
     }
@@ -373,22 +388,22 @@
         for index in 0..self.options.instances {
             let id = format!("entry-{}", index + 1);
             let zone = zones[index % 3];
-            let caller_address = free_address();
+            let client_address = free_address();
             let peer_address = free_address();
-            list(
+            append_entry(
                 &mut listed,
                 &id,
                 "entry",
-                &caller_address,
+                &client_address,
                 &peer_address,
                 zone,
             );
             let settings = self.folder.join(format!("{id}.toml"));
-            let text = self.settings_text(&id, zone, &caller_address, &peer_address);
-            std::fs::write(&settings, text).expect("settings");
+            let text = self.settings_text(&id, zone, &client_address, &peer_address);
+            std::fs::write(&settings, text).expect("can't write the settings");
             self.instances.push(Instance {
                 id,
-                caller_address,
+                client_address,
                 settings,
                 child: None,
             });
@@ -397,9 +412,9 @@
             let fencing = index < self.options.fencing_engines;
             let pool = if fencing { "engines" } else { "plain-engines" };
             let id = format!("engine-{}", index + 1);
-            list(&mut listed, &id, pool, address, "", zones[index % 3]);
+            append_entry(&mut listed, &id, pool, address, "", zones[index % 3]);
         }
-        list(
+        append_entry(
             &mut listed,
             "service-1",
             "orders",
@@ -407,21 +422,22 @@
             "",
             "zone-a",
         );
-        std::fs::write(self.folder.join("instances.toml"), listed).expect("list");
+        std::fs::write(self.folder.join("instances.toml"), listed)
+            .expect("can't write the instance list");
     }
 
-    fn settings_text(&self, id: &str, zone: &str, caller: &str, peer: &str) -> String {
+    fn settings_text(&self, id: &str, zone: &str, client: &str, peer: &str) -> String {
         let root = OperatorKey::from_seed([7; 32]).public_hex();
         let platform = &self.platform;
         let events = self.folder.join(format!("{id}.events"));
-        let more = &self.options.settings;
+        let extra = &self.options.settings;
         format!(
-            "[instance]\nid = \"{id}\"\nzone = \"{zone}\"\ncaller_address = \"{caller}\"\n\
+            "[instance]\nid = \"{id}\"\nzone = \"{zone}\"\ncaller_address = \"{client}\"\n\
              peer_address = \"{peer}\"\n\
              [fleet]\nroot_key = \"{root}\"\nlink_secret = \"secret of the test fleet\"\n\
              shards = 16\n\
              [platform]\naddress = \"{platform}\"\n\
-             [logs]\nevents = \"{}\"\n{more}\n",
+             [logs]\nevents = \"{}\"\n{extra}\n",
             events.display()
         )
     }
@@ -436,7 +452,7 @@
             parallel_adapters: 32,
             adapter_ms: 20,
         };
-        spawn(move || run_platform(platform));
+        spawn_standin(move || run_platform(platform));
         for (index, address) in self.engines.iter().enumerate() {
             let engine = EngineArgs {
                 listen: address.clone(),
@@ -447,22 +463,19 @@
                 token_ms: self.options.token_ms,
                 crash_on: None,
             };
-            spawn(move || run_engine(engine));
+            spawn_standin(move || run_engine(engine));
         }
         let service = ServiceArgs {
             listen: self.service.clone(),
             call_ms: 5,
         };
-        spawn(move || run_service(service));
+        spawn_standin(move || run_service(service));
         let addresses = self.engines.iter().chain([&self.platform, &self.service]);
         for address in addresses {
-            let end = Instant::now() + START_LIMIT;
+            let end = Instant::now() + START_TIMEOUT;
             while std::net::TcpStream::connect(address).is_err() {
-                assert!(
-                    Instant::now() < end,
-                    "a stand-in does not listen on {address}"
-                );
-                thread::sleep(LOOK_PAUSE);
+                assert!(Instant::now() < end, "no stand-in listens on {address}");
+                thread::sleep(POLL_PERIOD);
             }
         }
     }
@@ -477,14 +490,15 @@
     }
 }
 
-/// Returns a loopback address that nobody listens on and that no earlier call returned.
+/// Returns a loopback address on which no socket listens. Each call in a process returns another
+/// port, until the process's range is used up.
 ///
-/// Ports below the range from which the system picks ports for outgoing connections are taken, so
-/// that none is lost between this call and its use.
+/// The ports are below the range from which the system picks ports for outgoing connections, so
+/// that such a connection can't take the port between this call and its use.
 ///
 /// # Panics
 ///
-/// Panics when no port of the range is free.
+/// Panics if no port of the process's range is free.
 pub fn free_address() -> String {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let offset = (std::process::id() % PROCESSES) as u16 * PORTS_PER_PROCESS;
@@ -498,9 +512,9 @@
     panic!("no free port from {FIRST_PORT} on");
 }
 
-fn get(address: &str, path: &str) -> Exchange {
+fn get(address: &str, path: &str) -> RawResponse {
     let request = format!("GET {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n");
-    exchange(address, request.as_bytes())
+    send_raw(address, request.as_bytes())
 }
 
 fn post_request(path: &str, key: &str, headers: &[(&str, &str)], body: &str) -> Vec<u8> {
@@ -519,7 +533,7 @@
     [head.as_bytes(), body.as_bytes()].concat()
 }
 
-fn list(text: &mut String, id: &str, role: &str, address: &str, peer: &str, zone: &str) {
+fn append_entry(text: &mut String, id: &str, role: &str, address: &str, peer: &str, zone: &str) {
     let _ = write!(
         text,
         "[[instance]]\nid = \"{id}\"\nrole = \"{role}\"\naddress = \"{address}\"\n\
@@ -527,7 +541,7 @@
     );
 }
 
-fn spawn<F, R>(run: F)
+fn spawn_standin<F, R>(run: F)
 where
     F: FnOnce() -> R + Send + 'static,
     R: Future<Output = std::io::Result<()>>,
@@ -535,7 +549,7 @@
     thread::spawn(move || actix_web::rt::System::new().block_on(run()));
 }
 
-// A runtime of its own, so that tests stay plain functions.
+// Runs a future in a runtime on a separate thread, so that tests don't need to be async.
 fn run_async<F, R, T>(run: F) -> T
 where
     F: FnOnce() -> R + Send + 'static,
@@ -543,5 +557,5 @@
     T: Send + 'static,
 {
     let thread = thread::spawn(move || actix_web::rt::System::new().block_on(run()));
-    thread.join().expect("the task ends")
+    thread.join().expect("the task panicked")
 }
--- a/crates/apricotwell_local/src/lib.rs
+++ b/crates/apricotwell_local/src/lib.rs
@@ -1,7 +1,7 @@
 //! Local fleets of real processes for tests.
 //!
-//! Entry instances run as processes, so that they can be killed and paused; stand-ins run as
-//! threads of the test. Everything listens on loopback, on ports of its own.
+//! Entry instances run as child processes, so that tests can kill and pause them; stand-ins run as
+//! threads of the test process. All of them listen on loopback, each on its own port.
 //!
 //! # Examples
 //!
@@ -11,8 +11,8 @@
 //! assert!(free_address().starts_with("127.0.0.1:"));
 //! ```
 
-mod exchange;
 mod fleet;
+mod raw_http;
 
-pub use exchange::{Exchange, exchange, normalise};
 pub use fleet::{FleetOptions, LocalFleet, free_address};
+pub use raw_http::{RawResponse, normalise_response, send_raw};
--- a/crates/apricotwell_local/src/exchange.rs
+++ b/crates/apricotwell_local/src/raw_http.rs
@@ -1,60 +1,60 @@
-//! HTTP exchanges over plain sockets, so that every byte is seen.
+//! HTTP requests over plain sockets, so that tests see each byte of a response.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Longest exchange.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum time without new bytes of a response.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What came back.
+/// Response as received, without decoding.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Exchange {
-    /// Status, 0 when no answer came.
+pub struct RawResponse {
+    /// HTTP status, 0 without a response.
     pub status: u16,
     /// Status line and headers.
     pub head: String,
-    /// Body as it came, chunk sizes included.
+    /// Body as received, including chunk sizes.
     pub body: String,
-    /// Whether the connection was closed before the answer's end.
-    pub torn: bool,
+    /// Whether the connection failed or was closed before the end of the response.
+    pub truncated: bool,
 }
 
-/// Sends bytes and reads until the other end closes the connection.
-pub fn exchange(address: &str, request: &[u8]) -> Exchange {
-    let mut answer = Vec::new();
-    let mut torn = false;
+/// Sends a request and reads the response until the server closes the connection.
+pub fn send_raw(address: &str, request: &[u8]) -> RawResponse {
+    let mut response = Vec::new();
+    let mut truncated = false;
     if let Ok(mut stream) = TcpStream::connect(address) {
-        let _ = stream.set_read_timeout(Some(TIMEOUT));
-        // A server may refuse before it has read everything.
+        let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
+        // A server may reject the request and close before it has read all of it.
         let _ = stream.write_all(request);
         let mut buffer = [0; 4096];
         loop {
             match stream.read(&mut buffer) {
                 Ok(0) => break,
-                Ok(count) => answer.extend_from_slice(&buffer[..count]),
+                Ok(count) => response.extend_from_slice(&buffer[..count]),
                 Err(_) => {
-                    torn = true;
+                    truncated = true;
                     break;
                 }
             }
         }
     }
-    let text = String::from_utf8_lossy(&answer).into_owned();
+    let text = String::from_utf8_lossy(&response).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
     let status = head.split(' ').nth(1).and_then(|code| code.parse().ok());
     let chunked = head.contains("transfer-encoding: chunked");
-    Exchange {
+    RawResponse {
         status: status.unwrap_or(0),
         head: head.to_owned(),
         body: body.to_owned(),
-        torn: torn || (chunked && !body.ends_with("0\r\n\r\n")),
+        truncated: truncated || (chunked && !body.ends_with("0\r\n\r\n")),
     }
 }
 
-/// Returns an exchange as text in which nothing differs from run to run.
-pub fn normalise(exchange: &Exchange) -> String {
-    let mut lines = exchange.head.lines();
+/// Returns a response as text without the parts that differ between runs.
+pub fn normalise_response(response: &RawResponse) -> String {
+    let mut lines = response.head.lines();
     let mut text = lines.next().unwrap_or("no answer").to_owned();
     text.push('\n');
     let mut headers: Vec<String> = lines
@@ -64,15 +64,15 @@
     headers.sort();
     text.push_str(&headers.join("\n"));
     text.push_str("\n\n");
-    text.push_str(&exchange.body.replace("\r\n", "\n"));
-    if exchange.torn {
+    text.push_str(&response.body.replace("\r\n", "\n"));
+    if response.truncated {
         text.push_str("\n(torn)");
     }
     text.push('\n');
     text
 }
 
-// Attempts hold the start number of a process.
+// Replaces the incarnation of the instance in an attempt id.
 fn normalise_header(line: &str) -> String {
     let Some(attempt) = line.strip_prefix("x-attempt-id: ") else {
         return line.to_owned();
