--- a/crates/apricotwell_load/src/bin/apricotwell-load.rs
+++ b/crates/apricotwell_load/src/bin/apricotwell-load.rs
@@ -8,9 +8,9 @@
     PacedOptions, StreamOptions, Workload, render_bars, run_paced, run_streams, run_workload,
 };
 
-/// Load and experiment tool; results are printed as JSON.
+/// Load and experiment tool; prints results as JSON.
 ///
-/// Send load only to instances that you run. Exit codes: 0 done, 1 failed, 2 wrong arguments.
+/// Send load only to instances that you run. Exit codes: 0 success, 1 failure, 2 invalid arguments.
 #[derive(argh::FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -25,62 +25,62 @@
     Workload(RunWorkload),
 }
 
-/// Measure streamed events a second per core.
+/// Measure streamed events per second and core.
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "streams")]
 struct Streams {
-    /// address as ip:port
+    /// address of the instance, as ip:port
     #[argh(option)]
     address: String,
-    /// key
+    /// API key
     #[argh(option, default = "String::new()")]
     key: String,
-    /// model
+    /// requested model
     #[argh(option)]
     model: String,
-    /// streams at once
+    /// number of concurrent streams
     #[argh(option, default = "16")]
     streams: usize,
-    /// tokens of each stream
+    /// number of tokens of each stream
     #[argh(option, default = "500")]
     tokens: u64,
-    /// seconds
+    /// duration in seconds
     #[argh(option, default = "5.0")]
     seconds: f64,
-    /// process whose processor time is counted
+    /// id of the process whose CPU time is measured
     #[argh(option)]
     pid: u32,
 }
 
-/// Measure latency at a steady rate.
+/// Measure latency at a constant request rate.
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "paced")]
 struct Paced {
-    /// address as ip:port
+    /// address of the instance, as ip:port
     #[argh(option)]
     address: String,
-    /// key
+    /// API key
     #[argh(option, default = "String::new()")]
     key: String,
-    /// model
+    /// requested model
     #[argh(option)]
     model: String,
-    /// requests a second
+    /// requests per second
     #[argh(option)]
     rate: f64,
-    /// seconds
+    /// duration in seconds
     #[argh(option, default = "5.0")]
     seconds: f64,
 }
 
-/// Serve a workload file and tell how its organisations fared.
+/// Send the requests of a workload file and report results for each organisation.
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "workload")]
 struct RunWorkload {
     /// JSON file with the workload
     #[argh(positional)]
     file: PathBuf,
-    /// file for a plot of the 99th percentiles, as SVG
+    /// SVG file for a plot of the 99th percentiles
     #[argh(option)]
     plot: Option<PathBuf>,
 }
@@ -109,7 +109,7 @@
                 model: streams.model,
                 streams: streams.streams,
                 tokens: streams.tokens,
-                time: Duration::from_secs_f64(streams.seconds),
+                duration: Duration::from_secs_f64(streams.seconds),
                 pid: streams.pid,
             };
             serde_json::to_string(&run_streams(&options).await)
@@ -120,21 +120,21 @@
                 key: paced.key,
                 model: paced.model,
                 rate: paced.rate,
-                time: Duration::from_secs_f64(paced.seconds),
+                duration: Duration::from_secs_f64(paced.seconds),
             };
             serde_json::to_string(&run_paced(&options).await)
         }
         Command::Workload(command) => {
             let name = command.file.display().to_string();
             let text = std::fs::read_to_string(&command.file)
-                .map_err(|error| format!("{name}: {error}; give the path of a workload file"))?;
+                .map_err(|error| format!("{name}: {error}; pass the path of a workload file"))?;
             let workload: Workload = serde_json::from_str(&text)
                 .map_err(|error| format!("{name}: {error}; see docs/operating/load.md"))?;
             let result = run_workload(&workload).await;
             if let Some(plot) = command.plot {
                 let orgs = result.organisations.iter();
                 let bars: Vec<(String, f64)> = orgs
-                    .map(|(org, fared)| (org.clone(), fared.first_byte.p99_ms))
+                    .map(|(org, result)| (org.clone(), result.first_byte.p99_ms))
                     .collect();
                 let svg = render_bars("first byte, 99th percentile, ms", &bars);
                 std::fs::write(&plot, svg).map_err(|error| error.to_string())?;
--- a/crates/apricotwell_load/src/bin/tcp-relay.rs
+++ b/crates/apricotwell_load/src/bin/tcp-relay.rs
@@ -1,4 +1,4 @@
-//! Plain TCP relay, against which the entry daemon is measured.
+//! Plain TCP relay, the baseline for measurements of the entry daemon.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Plain TCP relay: passes every connection on, byte for byte.
+/// Plain TCP relay: forwards each connection, byte for byte.
 #[derive(argh::FromArgs)]
 struct Args {
     /// address to listen on, as ip:port
@@ -28,16 +28,17 @@
         }
     };
     loop {
-        let Ok((mut near, _)) = listener.accept().await else {
+        let Ok((mut inbound, _)) = listener.accept().await else {
             continue;
         };
         let target = args.target.clone();
         spawn_local(async move {
-            if let Ok(mut far) = TcpStream::connect(target).await {
-                let _ = near.set_nodelay(true);
-                let _ = far.set_nodelay(true);
-                // Either end may close at any time.
-                let _ = copy_bidirectional(&mut near, &mut far).await;
+            if let Ok(mut outbound) = TcpStream::connect(target).await {
+                let _ = inbound.set_nodelay(true);
+                let _ = outbound.set_nodelay(true);
+                // An error only means that one end closed the connection, which may happen at any
+                // time.
+                let _ = copy_bidirectional(&mut inbound, &mut outbound).await;
             }
         });
     }
--- a/crates/apricotwell_load/src/caller.rs
+++ b/crates/apricotwell_load/src/client.rs
@@ -1,35 +1,35 @@
-//! A caller of the OpenAI-compatible interface.
+//! Client of the OpenAI-compatible interface.
 
 use std::time::{Duration, Instant};
 
 use awc::Client;
 use futures_util::StreamExt;
 
-/// What a caller got.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
-    /// HTTP status, 0 when no answer came.
+pub struct ApiResponse {
+    /// HTTP status, 0 without a complete response.
     pub status: u16,
-    /// The error's code in a refusal.
+    /// Code of the error, empty without an error.
     pub code: String,
-    /// Time to the first byte of the body.
+    /// Time until the first byte of the body.
     pub first_byte: Duration,
-    /// Time to the end.
-    pub whole: Duration,
-    /// Streamed events.
+    /// Time until the end of the response.
+    pub total: Duration,
+    /// Number of streamed events.
     pub events: u64,
 }
 
-/// A caller with a key.
+/// Client with an API key.
 #[derive(Clone)]
-pub struct Caller {
+pub struct ApiClient {
     client: Client,
     url: String,
     key: String,
 }
 
-impl Caller {
-    /// Returns a caller of the instance at `address`.
+impl ApiClient {
+    /// Creates a client of the instance at `address`. An empty key is not sent.
     pub fn new(address: &str, key: &str) -> Self {
         Self {
             client: apricotwell_adapters::pooled_client(),
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Asks a model for `tokens` tokens.
-    pub async fn chat(&self, model: &str, tokens: u64, stream: bool) -> Answer {
+    /// Sends a chat request for `tokens` tokens to a model.
+    pub async fn chat(&self, model: &str, tokens: u64, stream: bool) -> ApiResponse {
         let body = format!(
             "{{\"model\":\"{model}\",\"stream\":{stream},\"max_tokens\":{tokens},\
              \"messages\":[{{\"role\":\"user\",\"content\":\"Soup?\"}}]}}"
@@ -47,14 +47,14 @@
         self.post("/v1/chat/completions", &[], body).await
     }
 
-    /// Sends a request and reads its answer.
-    pub async fn post(&self, path: &str, headers: &[(&str, &str)], body: String) -> Answer {
+    /// Sends a `POST` request and reads the response to its end.
+    pub async fn post(&self, path: &str, headers: &[(&str, &str)], body: String) -> ApiResponse {
         let began = Instant::now();
-        let mut answer = Answer {
+        let mut result = ApiResponse {
             status: 0,
             code: String::new(),
             first_byte: Duration::ZERO,
-            whole: Duration::ZERO,
+            total: Duration::ZERO,
             events: 0,
         };
         let mut request = self
@@ -68,31 +68,31 @@
             request = request.insert_header((*name, *value));
         }
         let Ok(mut response) = request.send_body(body).await else {
-            answer.whole = began.elapsed();
-            return answer;
+            result.total = began.elapsed();
+            return result;
         };
-        answer.status = response.status().as_u16();
+        result.status = response.status().as_u16();
         let mut first = None;
-        let mut refusal = Vec::new();
+        let mut error_body = Vec::new();
         while let Some(chunk) = response.next().await {
             let Ok(chunk) = chunk else {
-                answer.status = 0;
+                result.status = 0;
                 break;
             };
             first.get_or_insert_with(|| began.elapsed());
-            answer.events += count_events(&chunk);
-            if answer.status >= 400 {
-                refusal.extend_from_slice(&chunk);
+            result.events += count_events(&chunk);
+            if result.status >= 400 {
+                error_body.extend_from_slice(&chunk);
             }
         }
-        answer.whole = began.elapsed();
-        answer.first_byte = first.unwrap_or(answer.whole);
-        answer.code = error_code(&refusal);
-        answer
+        result.total = began.elapsed();
+        result.first_byte = first.unwrap_or(result.total);
+        result.code = error_code(&error_body);
+        result
     }
 }
 
-// Servers here send whole events, so their ends are not split between chunks.
+// Servers here send each event in one chunk, so the separator isn't split between chunks.
 fn count_events(chunk: &[u8]) -> u64 {
     chunk.windows(2).filter(|pair| *pair == b"\n\n").count() as u64
 }
--- a/crates/apricotwell_load/src/latency.rs
+++ b/crates/apricotwell_load/src/latency.rs
@@ -1,46 +1,46 @@
-//! Distributions of latency.
+//! Latency distributions.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Significant digits kept.
-const DIGITS: u8 = 3;
+/// Number of significant digits that the histogram retains.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest latency told apart, in microseconds.
-const LONGEST_US: u64 = 3_600_000_000;
+/// Largest latency that the histogram distinguishes, in microseconds.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// Distribution of latency in microseconds.
+/// Histogram of latencies, in microseconds.
 #[derive(Clone, Debug)]
-pub struct Latency {
+pub struct LatencyHistogram {
     histogram: Option<Histogram<u64>>,
 }
 
-impl Default for Latency {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         Self {
-            histogram: Histogram::new_with_bounds(1, LONGEST_US, DIGITS).ok(),
+            histogram: Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok(),
         }
     }
 }
 
-/// Distribution in short, in milliseconds.
+/// Summary of a latency distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Summary {
-    /// Values.
+pub struct LatencySummary {
+    /// Number of values.
     pub count: u64,
     /// Median.
     pub p50_ms: f64,
-    /// 95 of 100 are at most this.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 of 100 are at most this.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// Largest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-impl Latency {
+impl LatencyHistogram {
     /// Records a value.
     pub fn record(&mut self, value: Duration) {
         if let Some(histogram) = &mut self.histogram {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Returns the distribution in short.
-    pub fn summary(&self) -> Summary {
+    /// Returns a summary of the distribution.
+    pub fn summary(&self) -> LatencySummary {
         let Some(histogram) = &self.histogram else {
-            return Summary::default();
+            return LatencySummary::default();
         };
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-        Summary {
+        LatencySummary {
             count: histogram.len(),
             p50_ms: at(0.50),
             p95_ms: at(0.95),
--- a/crates/apricotwell_load/src/lib.rs
+++ b/crates/apricotwell_load/src/lib.rs
@@ -1,21 +1,22 @@
 //! Load and experiment tools.
 //!
-//! [`run_streams`] measures how many streamed events a process passes on per core, [`run_paced`]
-//! the latency at a steady rate, and [`run_workload`] serves a named workload and tells how its
-//! organisations fared. Results are JSON; [`render_bars`] draws them as SVG.
+//! [`run_streams`] measures how many streamed events a process forwards per core, [`run_paced`]
+//! measures the latency at a constant rate, and [`run_workload`] sends the requests of a workload
+//! file and reports results for each organisation. Results are serialized as JSON; [`render_bars`]
+//! draws values as an SVG bar chart.
 //!
 //! # Examples
 //!
 //! ```
-//! use apricotwell_load::{Latency, render_bars};
+//! use apricotwell_load::{LatencyHistogram, render_bars};
 //!
-//! let mut latency = Latency::default();
+//! let mut latency = LatencyHistogram::default();
 //! latency.record(std::time::Duration::from_millis(3));
 //! assert_eq!(latency.summary().count, 1);
 //! assert!(render_bars("first byte", &[("p50".to_owned(), 3.0)]).starts_with("<svg"));
 //! ```
 
-mod caller;
+mod client;
 mod cpu;
 mod latency;
 mod paced;
@@ -23,9 +24,9 @@
 mod streams;
 mod workload;
 
-pub use caller::{Answer, Caller};
+pub use client::{ApiClient, ApiResponse};
 pub use cpu::cpu_seconds;
-pub use latency::{Latency, Summary};
+pub use latency::{LatencyHistogram, LatencySummary};
 pub use paced::{PacedOptions, PacedResult, run_paced};
 pub use plot::render_bars;
 pub use streams::{StreamOptions, StreamResult, run_streams};
--- a/crates/apricotwell_load/src/paced.rs
+++ b/crates/apricotwell_load/src/paced.rs
@@ -1,4 +1,4 @@
-//! Latency at a steady rate.
+//! Latency at a constant request rate.
 
 use std::time::{Duration, Instant};
 
@@ -7,54 +7,55 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant as TokioInstant, sleep_until};
 
-use crate::caller::Caller;
-use crate::latency::{Latency, Summary};
+use crate::client::ApiClient;
+use crate::latency::{LatencyHistogram, LatencySummary};
 
-/// What to send.
+/// Options of a measurement at a constant rate.
 #[derive(Clone, Debug)]
 pub struct PacedOptions {
-    /// Address.
+    /// Address of the instance.
     pub address: String,
-    /// Key.
+    /// API key.
     pub key: String,
-    /// Model.
+    /// Requested model.
     pub model: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Time.
-    pub time: Duration,
+    /// Duration of the load.
+    pub duration: Duration,
 }
 
-/// How it went.
+/// Result of a measurement at a constant rate.
 #[derive(Clone, Debug, Serialize)]
 pub struct PacedResult {
-    /// Latency of whole answers.
-    pub latency: Summary,
-    /// Requests without an answer.
+    /// Latency of complete responses.
+    pub latency: LatencySummary,
+    /// Number of requests without a response of status 200.
     pub failed: u64,
 }
 
-/// Sends whole one-token requests at a steady rate, whether or not earlier ones have ended.
+/// Sends unstreamed one-token requests at a constant rate, whether or not earlier ones have ended.
 pub async fn run_paced(options: &PacedOptions) -> PacedResult {
-    let caller = Caller::new(&options.address, &options.key);
-    let count = (options.rate * options.time.as_secs_f64()) as u64;
+    let client = ApiClient::new(&options.address, &options.key);
+    let count = (options.rate * options.duration.as_secs_f64()) as u64;
     let began = Instant::now();
     let send = |index: u64| {
-        let caller = caller.clone();
+        let client = client.clone();
         let model = options.model.clone();
-        let at = began + Duration::from_secs_f64(index as f64 / options.rate);
+        let due = began + Duration::from_secs_f64(index as f64 / options.rate);
         spawn_local(async move {
-            sleep_until(TokioInstant::from_std(at)).await;
-            let answer = caller.chat(&model, 1, false).await;
-            // Counted from when it was due, so that a stall is not left out.
-            (answer.status, at.elapsed())
+            sleep_until(TokioInstant::from_std(due)).await;
+            let response = client.chat(&model, 1, false).await;
+            // Measured from the scheduled time, so that a stall shows in the latency of each
+            // request that it delays (coordinated omission).
+            (response.status, due.elapsed())
         })
     };
-    let answers = join_all((0..count).map(send)).await;
-    let mut latency = Latency::default();
+    let responses = join_all((0..count).map(send)).await;
+    let mut latency = LatencyHistogram::default();
     let mut failed = 0;
-    for answer in answers.into_iter().flatten() {
-        match answer {
+    for response in responses.into_iter().flatten() {
+        match response {
             (200, took) => latency.record(took),
             _ => failed += 1,
         }
--- a/crates/apricotwell_load/src/streams.rs
+++ b/crates/apricotwell_load/src/streams.rs
@@ -1,56 +1,56 @@
-//! Streamed events a second per core.
+//! Throughput of streamed events per core.
 
 use std::time::{Duration, Instant};
 
 use futures_util::future::join_all;
 use serde::Serialize;
 
-use crate::caller::Caller;
+use crate::client::ApiClient;
 use crate::cpu::cpu_seconds;
 
-/// What to stream.
+/// Options of a measurement of streams.
 #[derive(Clone, Debug)]
 pub struct StreamOptions {
-    /// Address of the process measured.
+    /// Address of the measured process.
     pub address: String,
-    /// Key.
+    /// API key.
     pub key: String,
-    /// Model.
+    /// Requested model.
     pub model: String,
-    /// Streams at once.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Tokens of each stream.
+    /// Number of tokens of each stream.
     pub tokens: u64,
-    /// Time for which streams are begun.
-    pub time: Duration,
-    /// Process whose processor time is counted.
+    /// Time during which new streams are started.
+    pub duration: Duration,
+    /// Id of the measured process.
     pub pid: u32,
 }
 
-/// What was streamed.
+/// Result of a measurement of streams.
 #[derive(Clone, Debug, Serialize)]
 pub struct StreamResult {
-    /// Events.
+    /// Number of events.
     pub events: u64,
-    /// Streams that failed.
+    /// Number of failed streams.
     pub failed: u64,
-    /// Seconds.
+    /// Elapsed time, in seconds.
     pub seconds: f64,
-    /// Processor seconds of the process measured.
+    /// CPU time that the measured process used, in seconds.
     pub cpu_seconds: f64,
-    /// Events a second.
+    /// Events per second.
     pub events_per_second: f64,
-    /// Events per processor second of the process measured.
+    /// Events per second of CPU time of the measured process.
     pub events_per_core: f64,
 }
 
-/// Streams for a while.
+/// Runs concurrent streams and measures their throughput.
 pub async fn run_streams(options: &StreamOptions) -> StreamResult {
-    let caller = Caller::new(&options.address, &options.key);
+    let client = ApiClient::new(&options.address, &options.key);
     let cpu_before = cpu_seconds(options.pid).unwrap_or(0.0);
     let began = Instant::now();
-    let end = began + options.time;
-    let tasks = (0..options.streams).map(|_| stream_until(&caller, options, end));
+    let end = began + options.duration;
+    let tasks = (0..options.streams).map(|_| stream_until(&client, options, end));
     let counts = join_all(tasks).await;
     let seconds = began.elapsed().as_secs_f64();
     let cpu = cpu_seconds(options.pid).unwrap_or(0.0) - cpu_before;
@@ -65,13 +65,13 @@
     }
 }
 
-async fn stream_until(caller: &Caller, options: &StreamOptions, end: Instant) -> (u64, u64) {
+async fn stream_until(client: &ApiClient, options: &StreamOptions, end: Instant) -> (u64, u64) {
     let mut events = 0;
     let mut failed = 0;
     while Instant::now() < end {
-        let answer = caller.chat(&options.model, options.tokens, true).await;
-        events += answer.events;
-        failed += u64::from(answer.status != 200);
+        let response = client.chat(&options.model, options.tokens, true).await;
+        events += response.events;
+        failed += u64::from(response.status != 200);
     }
     (events, failed)
 }
--- a/crates/apricotwell_load/src/workload.rs
+++ b/crates/apricotwell_load/src/workload.rs
@@ -1,4 +1,5 @@
-//! A named workload: calm organisations, a noisy one, orders and first requests.
+//! Workload of several organisations, such as steady ones and a noisy one, with requests for
+//! popular and rare models and non-idempotent orders.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,61 +11,62 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant as TokioInstant, sleep_until};
 
-use crate::caller::{Answer, Caller};
-use crate::latency::{Latency, Summary};
+use crate::client::{ApiClient, ApiResponse};
+use crate::latency::{LatencyHistogram, LatencySummary};
 
-/// Workload as read from a TOML or JSON file.
+/// Workload, as read from a file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
     /// Seed of arrival times and choices.
     pub seed: u64,
-    /// Seconds.
+    /// Duration, in seconds.
     pub seconds: f64,
-    /// Addresses of entry instances.
+    /// Addresses of the entry instances.
     pub addresses: Vec<String>,
-    /// Models, called with a few popular ones and many rare ones.
+    /// Requested models. The first tenth of them is popular, the others are rare.
     pub models: Vec<String>,
-    /// Keys by organisation.
+    /// API keys by organisation.
     pub keys: BTreeMap<String, String>,
-    /// Requests a second of each organisation.
+    /// Requests per second, by organisation.
     pub rates: BTreeMap<String, f64>,
-    /// Tokens of each answer.
+    /// Number of tokens of each response.
     pub tokens: u64,
-    /// Path of orders, empty for none; one in ten requests is an order.
+    /// Path of non-idempotent orders; empty to send none. Otherwise one in ten requests is an
+    /// order.
     #[serde(default)]
     pub orders: String,
 }
 
-/// How an organisation fared.
+/// Results of an organisation.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct OrgResult {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Number of requests answered with status 200.
     pub answered: u64,
-    /// Refusals by code.
+    /// Number of other responses, by status and error code.
     pub refused: BTreeMap<String, u64>,
-    /// Time to the first byte of answers.
-    pub first_byte: Summary,
+    /// Time until the first byte of the answered requests.
+    pub first_byte: LatencySummary,
 }
 
-/// How a workload went.
+/// Result of a workload.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct WorkloadResult {
-    /// By organisation.
+    /// Results by organisation.
     pub organisations: BTreeMap<String, OrgResult>,
-    /// Time to the first byte of each model's first request.
-    pub first_requests: Summary,
+    /// Time until the first byte of the first request for each model.
+    pub first_requests: LatencySummary,
 }
 
-struct Sent {
+struct CompletedRequest {
     org: String,
-    first: bool,
-    answer: Answer,
+    is_first: bool,
+    response: ApiResponse,
 }
 
-/// Serves a workload's requests for its time.
+/// Sends the requests of a workload and waits for their responses.
 pub async fn run_workload(workload: &Workload) -> WorkloadResult {
     let mut random = StdRng::seed_from_u64(workload.seed);
     let mut seen = BTreeMap::new();
@@ -77,53 +79,60 @@
         let mut at = 0.0;
         let mut number = 0;
         while at < workload.seconds {
-            // Exponential pauses make independent arrivals.
+            // Exponentially distributed gaps give a Poisson process.
             at += -(1.0 - random.random::<f64>()).ln() / rate;
             number += 1;
-            let address = pick(&mut random, &workload.addresses);
-            let model = pick_model(&mut random, &workload.models);
+            let address = choose(&mut random, &workload.addresses);
+            let model = choose_model(&mut random, &workload.models);
             let is_order = !workload.orders.is_empty() && number % 10 == 0;
-            let first = !is_order && seen.insert(model.clone(), ()).is_none();
-            let caller = Caller::new(&address, key);
+            let is_first = !is_order && seen.insert(model.clone(), ()).is_none();
+            let client = ApiClient::new(&address, key);
             let due = began + Duration::from_secs_f64(at);
             let (org, tokens) = (org.clone(), workload.tokens);
             let orders = workload.orders.clone();
             tasks.push(spawn_local(async move {
                 sleep_until(TokioInstant::from_std(due)).await;
-                let answer = if is_order {
+                let response = if is_order {
                     let key = format!("{org} {number}");
                     let headers = [("idempotency-key", key.as_str())];
-                    caller.post(&orders, &headers, key.clone()).await
+                    client.post(&orders, &headers, key.clone()).await
                 } else {
-                    caller.chat(&model, tokens, true).await
+                    client.chat(&model, tokens, true).await
                 };
-                Sent { org, first, answer }
+                CompletedRequest {
+                    org,
+                    is_first,
+                    response,
+                }
             }));
         }
     }
     summarise(join_all(tasks).await.into_iter().flatten())
 }
 
-fn summarise(all: impl Iterator<Item = Sent>) -> WorkloadResult {
+fn summarise(requests: impl Iterator<Item = CompletedRequest>) -> WorkloadResult {
     let mut result = WorkloadResult::default();
-    let mut latencies: BTreeMap<String, Latency> = BTreeMap::new();
-    let mut first = Latency::default();
-    for Sent {
+    let mut latencies: BTreeMap<String, LatencyHistogram> = BTreeMap::new();
+    let mut first_requests = LatencyHistogram::default();
+    for CompletedRequest {
         org,
-        first: is_first,
-        answer,
-    } in all
+        is_first,
+        response,
+    } in requests
     {
         let entry = result.organisations.entry(org.clone()).or_default();
         entry.sent += 1;
-        if answer.status == 200 {
+        if response.status == 200 {
             entry.answered += 1;
-            latencies.entry(org).or_default().record(answer.first_byte);
+            latencies
+                .entry(org)
+                .or_default()
+                .record(response.first_byte);
             if is_first {
-                first.record(answer.first_byte);
+                first_requests.record(response.first_byte);
             }
         } else {
-            let code = format!("{} {}", answer.status, answer.code);
+            let code = format!("{} {}", response.status, response.code);
             *entry.refused.entry(code).or_default() += 1;
         }
     }
@@ -132,20 +141,21 @@
             entry.first_byte = latency.summary();
         }
     }
-    result.first_requests = first.summary();
+    result.first_requests = first_requests.summary();
     result
 }
 
-fn pick(random: &mut StdRng, items: &[String]) -> String {
+fn choose(random: &mut StdRng, items: &[String]) -> String {
     let index = random.random_range(0..items.len().max(1));
     items.get(index).cloned().unwrap_or_default()
 }
 
-// Half of the requests go to a tenth of the models.
-fn pick_model(random: &mut StdRng, models: &[String]) -> String {
+// Sends half of the requests to the first tenth of the models and spreads the others over all
+// models.
+fn choose_model(random: &mut StdRng, models: &[String]) -> String {
     if random.random_bool(0.5) {
         let popular = models.len().div_ceil(10);
-        return pick(random, &models[..popular]);
+        return choose(random, &models[..popular]);
     }
-    pick(random, models)
+    choose(random, models)
 }
