--- a/crates/apricotwell_claims/src/table.rs
+++ b/crates/apricotwell_claims/src/table.rs
@@ -45,7 +45,7 @@
     body: BodyDigest,
     attempt: String,
     outcome: Option<ClaimOutcome>,
-    written: u64,
+    written_ms: u64,
     offset: Offset,
 }
 
@@ -136,8 +136,8 @@
     }
 
     /// Removes claims written before `oldest`, in milliseconds since the Unix epoch.
-    pub fn remove_expired(&mut self, oldest: u64) {
-        self.claims.retain(|_, claim| claim.written >= oldest);
+    pub fn remove_expired(&mut self, oldest_ms: u64) {
+        self.claims.retain(|_, claim| claim.written_ms >= oldest_ms);
     }
 
     /// Returns records that repeat the claims below `offset`, to append before the log drops those.
@@ -158,23 +158,24 @@
                 .outcome
                 .as_ref()
                 .map(|outcome| finished_record(*key, &claim.attempt, outcome));
-            let claim_record = self.record(claim.written, ClaimBody::KeyClaimed(claimed));
-            let outcome_record = finished
-                .map(|finished| self.record(claim.written, ClaimBody::AttemptFinished(finished)));
+            let claim_record = self.record(claim.written_ms, ClaimBody::KeyClaimed(claimed));
+            let outcome_record = finished.map(|finished| {
+                self.record(claim.written_ms, ClaimBody::AttemptFinished(finished))
+            });
             [Some(claim_record), outcome_record].into_iter().flatten()
         };
         old_claims.take(limit).flat_map(records).collect()
     }
 
-    fn record(&self, written: u64, body: ClaimBody) -> ClaimRecord {
+    fn record(&self, written_ms: u64, body: ClaimBody) -> ClaimRecord {
         ClaimRecord {
             fence: self.fence,
-            written_ms: written,
+            written_ms,
             body: Some(body),
         }
     }
 
-    fn apply_claimed(&mut self, offset: Offset, written: u64, claimed: &KeyClaimed) -> bool {
+    fn apply_claimed(&mut self, offset: Offset, written_ms: u64, claimed: &KeyClaimed) -> bool {
         let key = BodyDigest::from_slice(&claimed.key);
         let body = BodyDigest::from_slice(&claimed.body);
         let (Some(key), Some(body)) = (key, body) else {
@@ -191,7 +192,7 @@
             body,
             attempt: claimed.attempt.clone(),
             outcome: None,
-            written,
+            written_ms,
             offset,
         };
         self.claims.insert(key, claim);
@@ -212,7 +213,7 @@
             Some(RunOutcome::NotRun) => {
                 self.claims.remove(&key);
             }
-            Some(ending) => claim.outcome = Some(ClaimOutcome::NoAnswer(ending)),
+            Some(run_outcome) => claim.outcome = Some(ClaimOutcome::NoAnswer(run_outcome)),
             None => {
                 claim.outcome = Some(ClaimOutcome::Answered(RecordedAnswer {
                     status: finished.status as u16,
@@ -232,7 +233,7 @@
         ..AttemptFinished::default()
     };
     match outcome {
-        ClaimOutcome::NoAnswer(ending) => finished.outcome = ending.as_str().to_owned(),
+        ClaimOutcome::NoAnswer(run_outcome) => finished.outcome = run_outcome.as_str().to_owned(),
         ClaimOutcome::Answered(answer) => {
             finished.outcome = "answered".to_owned();
             finished.status = u32::from(answer.status);
--- a/crates/apricotwell_node/src/claim_client.rs
+++ b/crates/apricotwell_node/src/claim_client.rs
@@ -88,8 +88,8 @@
         outcome: &ClaimOutcome,
     ) {
         if self.unrecorded.len() >= MAX_UNRECORDED {
-            // The claim stays without an outcome; repeats are told that the attempt is in progress
-            // or that its outcome is unknown.
+            // The claim stays without an outcome. Retries get the error that the attempt is in
+            // progress or, once this process has ended, that its outcome is unknown.
             return;
         }
         let report = UnrecordedOutcome {
@@ -164,7 +164,7 @@
 
 fn recorded_result(finished: &AttemptFinished) -> ClaimResult {
     match RunOutcome::from_name(&finished.outcome) {
-        Some(ending) => ClaimResult::Ended(ending),
+        Some(run_outcome) => ClaimResult::Ended(run_outcome),
         None => ClaimResult::Answered(RecordedAnswer {
             status: finished.status as u16,
             content_type: finished.content_type.clone(),
--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -21,7 +21,7 @@
 const MAX_CLAIM_AGE: Duration = Duration::from_secs(2);
 /// Time that a claim waits for the outcome of another attempt with its key.
 const MAX_HELD_WAIT: Duration = Duration::from_millis(1000);
-/// Largest number of claims, outcomes or rewritten claims in one append.
+/// Largest number of claims, of outcomes, and of rewritten claims in one append.
 const MAX_GROUP: usize = 64;
 /// Largest number of claims, and of outcomes, that wait on one shard.
 const MAX_QUEUE: usize = 4096;
@@ -155,9 +155,9 @@
         let mut replies = Vec::new();
         let mut actions = Vec::new();
         let wall_ms = wall.as_millis() as u64;
-        let oldest = wall_ms.saturating_sub(retention.as_millis() as u64);
+        let oldest_ms = wall_ms.saturating_sub(retention.as_millis() as u64);
         for (shard, held) in &mut self.shards {
-            held.table.remove_expired(oldest);
+            held.table.remove_expired(oldest_ms);
             held.reject_expired(now, &mut replies);
             held.send_verdicts(now, &has_ended, &mut replies);
             actions.extend(held.append(now, *shard, wall_ms, last_ticket));
--- a/crates/apricotwell_node/src/fleet.rs
+++ b/crates/apricotwell_node/src/fleet.rs
@@ -19,12 +19,12 @@
 /// Longest time that a new instance waits for all listed members before it takes leases.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Largest number of other members' statements relayed in one answer.
+/// Largest number of other members whose evidence one answer relays.
 const MAX_RELAYED: usize = 24;
 /// Evidence windows without contact to the log after which a member loses its leases.
 const LOST_WINDOWS: u32 = 3;
 /// Time for which a shard is held before it is handed over. By then this instance knows if the
-/// previous holder is leaving, and does not hand the shard back to it.
+/// previous holder is draining, and does not hand the shard back to it.
 const MIN_TERM: Duration = Duration::from_secs(3);
 
 /// Members, freshness of the log view, and leases on shards.
@@ -38,11 +38,11 @@
     leases: OwnLeases,
     // Instances on the platform's list, this one included.
     listed: Vec<InstanceId>,
-    leaving: bool,
+    draining: bool,
     started: Instant,
     // When this instance itself last reached the log.
     last_contact: Option<Instant>,
-    // Position of the first statement that the next answer relays.
+    // Position of the first member whose evidence the next answer relays.
     next_relayed: usize,
 }
 
@@ -64,7 +64,7 @@
             freshness: Freshness::new(settings.evidence_window),
             leases: OwnLeases::new(settings.id.clone(), settings.incarnation),
             listed: vec![settings.id.clone()],
-            leaving: false,
+            draining: false,
             started: now,
             last_contact: None,
             next_relayed: 0,
@@ -129,17 +129,17 @@
         let peers = self.membership.members().filter(|member| {
             member.update.state == MemberState::Alive && member.update.incarnation > 0
         });
-        let mut open: Vec<(InstanceId, String)> = peers
+        let mut ready: Vec<(InstanceId, String)> = peers
             .map(|member| {
                 let contact = &member.update.contact;
                 (contact.id.clone(), contact.zone.to_string())
             })
             .collect();
-        if !self.leaving {
+        if !self.draining {
             let own = &self.membership.own_update().contact;
-            open.push((own.id.clone(), own.zone.to_string()));
+            ready.push((own.id.clone(), own.zone.to_string()));
         }
-        open
+        ready
     }
 
     /// Returns whether the process that made an attempt `instance/incarnation/…` has ended.
@@ -164,13 +164,13 @@
 
     /// Starts to drain and returns the messages that announce it to the members.
     pub(crate) fn leave(&mut self, now: Instant, next: Offset) -> Vec<(Contact, Envelope)> {
-        self.leaving = true;
+        self.draining = true;
         let out = self.membership.leave(now);
         self.envelopes(now, next, out)
     }
 
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving
+    pub(crate) fn is_draining(&self) -> bool {
+        self.draining
     }
 
     /// Returns the probes that are due.
@@ -248,16 +248,16 @@
         }
     }
 
-    // Returns some statements of other members, in rotation. This way a statement reaches every
-    // member, although each member probes only a few others.
+    // Returns the evidence of some other members, in rotation. This way the evidence of each member
+    // reaches every other one, although each member probes only a few others.
     fn relay_evidence(&mut self, now: Instant) -> Vec<RelayedEvidence> {
-        let mut statements: Vec<(&InstanceId, &Evidence)> =
+        let mut recent: Vec<(&InstanceId, &Evidence)> =
             self.freshness.recent_evidence(now).collect();
-        statements.sort_unstable_by_key(|(peer, _)| *peer);
-        let count = statements.len();
+        recent.sort_unstable_by_key(|(peer, _)| *peer);
+        let count = recent.len();
         let first = self.next_relayed;
         self.next_relayed = first.wrapping_add(MAX_RELAYED);
-        let selected = (0..count.min(MAX_RELAYED)).map(|index| statements[(first + index) % count]);
+        let selected = (0..count.min(MAX_RELAYED)).map(|index| recent[(first + index) % count]);
         selected
             .map(|(peer, evidence)| RelayedEvidence {
                 member: peer.to_string(),
@@ -347,12 +347,12 @@
         own.then_some(lease.fence)
     }
 
-    /// Returns the fence of a shard on which this instance holds an effective lease.
+    /// Returns the fence of this instance's lease on a shard, if the lease is effective.
     pub(crate) fn fence(&self, now: Instant, shard: Shard) -> Option<Fence> {
         self.term(now, shard).map(|term| term.fence)
     }
 
-    /// Returns fence and end of the term of a shard on which this instance holds an effective lease.
+    /// Returns the fence and end of this instance's term on a shard, if its lease is effective.
     pub(crate) fn term(&self, now: Instant, shard: Shard) -> Option<HeldTerm> {
         match self.lease_state(now, shard) {
             LeaseState::Held { fence, until, .. } => Some(HeldTerm { fence, until }),
@@ -360,7 +360,7 @@
         }
     }
 
-    /// Returns the beginning of the term of a shard on which this instance holds an effective lease.
+    /// Returns the beginning of this instance's term on a shard, if its lease is effective.
     pub(crate) fn term_start(
         &self,
         now: Instant,
@@ -411,7 +411,7 @@
         }
         let live = self.live_members(now);
         let can_hand_over = |shard| {
-            self.leaving
+            self.draining
                 || matches!(self.lease_state(now, shard), LeaseState::Held { since, .. }
                     if now >= since + MIN_TERM)
         };
@@ -447,7 +447,7 @@
         live.push(LiveMember {
             id: self.own_id.clone(),
             incarnation: self.incarnation,
-            draining: self.leaving,
+            draining: self.draining,
         });
         live.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         live
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -145,7 +145,7 @@
 
     /// Returns whether this instance accepts requests from clients.
     pub fn is_ready(&self, now: Instant) -> bool {
-        !self.fleet.is_leaving() && self.can_check_keys(now)
+        !self.fleet.is_draining() && self.can_check_keys(now)
     }
 
     /// Returns whether the API keys are known well enough to authenticate clients.
@@ -167,8 +167,8 @@
     }
 
     /// Returns whether the instance is draining.
-    pub fn is_leaving(&self) -> bool {
-        self.fleet.is_leaving()
+    pub fn is_draining(&self) -> bool {
+        self.fleet.is_draining()
     }
 
     /// Returns whether a draining instance has finished all its work.
@@ -206,7 +206,7 @@
 
     /// Starts to drain: hands over held shards and takes no new ones.
     pub fn leave(&mut self, now: Instant) {
-        if !self.fleet.is_leaving() {
+        if !self.fleet.is_draining() {
             let messages = self.fleet.leave(now, self.state.next());
             for (to, envelope) in messages {
                 self.actions.push(Action::Send { to, envelope });
@@ -331,15 +331,15 @@
             let state = format!("{:?}", member.update.state).to_lowercase();
             (member.update.contact.id.to_string(), state)
         };
-        let contact = self.fleet.view_age(now);
+        let view_age = self.fleet.view_age(now);
         InstanceStatus {
             id: self.settings.id.to_string(),
             incarnation: self.settings.incarnation,
             zone: self.settings.zone.to_string(),
             ready: self.is_ready(now),
-            leaving: self.is_leaving(),
+            leaving: self.is_draining(),
             view: self.view(now).name().to_owned(),
-            contact_ms: contact.map(|age| age.as_millis() as u64),
+            contact_ms: view_age.map(|age| age.as_millis() as u64),
             next_offset: self.state.next(),
             requests: self.requests.len(),
             claims: self.claim_coordinator.claims(),
@@ -353,15 +353,15 @@
     /// that the traffic of one organisation and model goes to few instances.
     pub fn ranked_instances(&self, now: Instant, zone: &str, affinity: &str) -> Vec<InstanceId> {
         let item = u64::from(shard_of(affinity, Shard::MAX));
-        let mut open = self.fleet.ready_members();
+        let mut ready = self.fleet.ready_members();
         if !self.is_ready(now) {
-            open.retain(|(id, _)| *id != self.settings.id);
+            ready.retain(|(id, _)| *id != self.settings.id);
         }
-        open.sort_by_key(|(id, member_zone)| {
+        ready.sort_by_key(|(id, member_zone)| {
             let is_remote = member_zone != zone;
             (is_remote, std::cmp::Reverse(rendezvous_rank(item, id)))
         });
-        open.into_iter().map(|(id, _)| id).collect()
+        ready.into_iter().map(|(id, _)| id).collect()
     }
 
     fn apply_records(&mut self, now: Instant, first: Offset, records: Vec<Vec<u8>>) {
@@ -493,8 +493,8 @@
             Some(Body::PutConfig(put)) => {
                 Event::new(EventKind::ConfigApplied).with_detail(put.path)
             }
-            Some(Body::AcquireLeases(take)) => {
-                let detail = format!("{} takes {:?}", take.holder, take.shards);
+            Some(Body::AcquireLeases(acquire)) => {
+                let detail = format!("{} takes {:?}", acquire.holder, acquire.shards);
                 Event::new(EventKind::LeaseTaken).with_detail(detail)
             }
             Some(Body::DecideLoad(decide)) => Event::new(EventKind::ReplicaDecided)
--- a/crates/apricotwell_node/src/node/coordination.rs
+++ b/crates/apricotwell_node/src/node/coordination.rs
@@ -104,11 +104,11 @@
     // append fails or the lease moves.
     fn write_records(&mut self, now: Instant) {
         let plan = self.fleet.plan(now, &self.state);
-        for take in plan.handovers {
-            self.hand_over(now, take);
+        for acquire in plan.handovers {
+            self.hand_over(now, acquire);
         }
-        if let Some(take) = plan.takeover {
-            self.writer.push(Body::AcquireLeases(take));
+        if let Some(acquire) = plan.takeover {
+            self.writer.push(Body::AcquireLeases(acquire));
         }
         let fleet = &self.fleet;
         let shards = self.settings.genesis.shards;
@@ -129,18 +129,18 @@
 
     // Sends the buckets before the lease record, so that the new holder has them when it reads the
     // lease.
-    fn hand_over(&mut self, now: Instant, take: AcquireLeases) {
+    fn hand_over(&mut self, now: Instant, acquire: AcquireLeases) {
         let shards = self.settings.genesis.shards;
-        for shard in &take.shards {
+        for shard in &acquire.shards {
             self.fleet.release(*shard);
             let in_shard = |org: &str| shard_of(org, shards) == *shard;
             let buckets = self.tokens.hand_over(now, in_shard);
             for bucket in buckets {
-                let to = take.holder.as_str().into();
+                let to = acquire.holder.as_str().into();
                 self.send(now, &to, Message::BucketState(bucket));
             }
         }
-        self.writer.push(Body::AcquireLeases(take));
+        self.writer.push(Body::AcquireLeases(acquire));
     }
 
     fn plan_replicas(&mut self, now: Instant) {
--- a/crates/apricotwell_node/src/node/failures.rs
+++ b/crates/apricotwell_node/src/node/failures.rs
@@ -64,13 +64,14 @@
     }
 
     pub(super) fn fail(&mut self, now: Instant, id: RequestId, outcome: &AttemptOutcome) {
-        let ending = outcome.ending().unwrap_or(RunOutcome::Unknown);
+        let run_outcome = outcome.run_outcome().unwrap_or(RunOutcome::Unknown);
         let message = match outcome {
             AttemptOutcome::Failed => "the backend server ran the request and reported a failure",
             AttemptOutcome::Stalled { .. } => "the backend server made no progress in time",
             _ => "the connection to the backend server broke while it ran the request",
         };
-        let refusal = Refusal::not_run(RefusalKind::BackendFailed, message).with_outcome(ending);
+        let refusal =
+            Refusal::not_run(RefusalKind::BackendFailed, message).with_outcome(run_outcome);
         let refusal = match self.requests.get(id) {
             Some(request) if request.submission.class.is_repeatable() => {
                 refusal.with_retry_after(BUSY_RETRY_DELAY)
@@ -141,19 +142,20 @@
             RunOutcome::FailedAfterRun | RunOutcome::Unknown => u64::MAX,
         };
         let claimed = self.requests.get(id).is_some_and(|request| request.claimed);
-        let ending = claimed.then_some(refusal.outcome);
-        self.drop_request(now, id, used, ending);
+        let run_outcome = claimed.then_some(refusal.outcome);
+        self.drop_request(now, id, used, run_outcome);
         let request = id;
         self.actions.push(Action::Refuse { request, refusal });
     }
 
-    // Removes a request from whatever it waits for. Of its reservation, `used` tokens stay spent.
+    // Removes a request from whatever it waits for, and reports `run_outcome` if the request holds a
+    // claim. Of its reservation, `used` tokens stay spent; `u64::MAX` stands for all of them.
     pub(super) fn drop_request(
         &mut self,
         now: Instant,
         id: RequestId,
         used: u64,
-        ending: Option<RunOutcome>,
+        run_outcome: Option<RunOutcome>,
     ) {
         let Some(request) = self.requests.get(id).cloned() else {
             return;
@@ -169,8 +171,8 @@
             }
             Stage::Running { .. } | Stage::CheckingCrash { .. } => {}
         }
-        if let (true, Some(ending)) = (request.claimed, ending) {
-            self.report_outcome(now, id, &ClaimOutcome::NoAnswer(ending));
+        if let (true, Some(run_outcome)) = (request.claimed, run_outcome) {
+            self.report_outcome(now, id, &ClaimOutcome::NoAnswer(run_outcome));
         }
         self.remove_request(id, used);
     }
--- a/crates/apricotwell_node/src/node/idempotency.rs
+++ b/crates/apricotwell_node/src/node/idempotency.rs
@@ -64,11 +64,11 @@
             )
             .with_outcome(RunOutcome::Unknown)
             .with_retry_after(BUSY_RETRY_DELAY),
-            ClaimResult::Ended(ending) => Refusal::not_run(
+            ClaimResult::Ended(run_outcome) => Refusal::not_run(
                 RefusalKind::BackendFailed,
                 "a request with this Idempotency-Key ended without an answer and is not run again",
             )
-            .with_outcome(ending),
+            .with_outcome(run_outcome),
             ClaimResult::OtherBody => Refusal::not_run(
                 RefusalKind::IdempotencyKeyReused,
                 "this Idempotency-Key came before with another body; use a new key",
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -516,9 +516,9 @@
         if let AttemptOutcome::NotRun { unreachable: true } = outcome {
             self.servers.mark_unreachable(now, server);
         }
-        let detail = match outcome.ending() {
+        let detail = match outcome.run_outcome() {
             None => "answered",
-            Some(ending) => ending.as_str(),
+            Some(run_outcome) => run_outcome.as_str(),
         };
         let event = Event::new(EventKind::AttemptEnded)
             .with_request(self.request_name(id))
@@ -596,13 +596,13 @@
         self.next_demand = now + self.settings.demand_period;
         let mut items: BTreeMap<ModelId, DemandItem> = BTreeMap::new();
         for (_, request) in self.requests.iter() {
-            let Target::Model(callable) = &request.submission.target else {
+            let Target::Model(resolved) = &request.submission.target else {
                 continue;
             };
             let item = items
-                .entry(callable.model.clone())
+                .entry(resolved.model.clone())
                 .or_insert_with(|| DemandItem {
-                    model: callable.model.to_string(),
+                    model: resolved.model.to_string(),
                     slack_ms: u64::MAX / 2,
                     ..DemandItem::default()
                 });
--- a/crates/apricotwell_node/src/order_manager.rs
+++ b/crates/apricotwell_node/src/order_manager.rs
@@ -350,7 +350,7 @@
         replica: &Replica,
         fence: Fence,
     ) -> Option<SettleOutcome> {
-        let ended = |kind| {
+        let progress_of = |kind| {
             let order = self.orders.get(&(id, kind));
             order
                 .filter(|order| order.fence == fence)
@@ -359,15 +359,15 @@
         match replica.phase {
             ReplicaPhase::Loaded => None,
             ReplicaPhase::Decided => {
-                let done = ended(OrderKind::Load) == Some(Progress::Done);
+                let done = progress_of(OrderKind::Load) == Some(Progress::Done);
                 if done || reported_loaded(state, servers, id, replica) == Some(true) {
                     return Some(SettleOutcome::Loaded);
                 }
-                let failed = ended(OrderKind::Load) == Some(Progress::Failed);
+                let failed = progress_of(OrderKind::Load) == Some(Progress::Failed);
                 (failed && replica.fence == fence).then_some(SettleOutcome::Absent)
             }
             ReplicaPhase::Retiring => {
-                let done = ended(OrderKind::Unload) == Some(Progress::Done);
+                let done = progress_of(OrderKind::Unload) == Some(Progress::Done);
                 done.then_some(SettleOutcome::Absent)
             }
         }
--- a/crates/apricotwell_node/src/requests.rs
+++ b/crates/apricotwell_node/src/requests.rs
@@ -9,7 +9,7 @@
 use crate::Submission;
 use crate::token_manager::Reservation;
 
-/// Answer as stored for repeats of the same request.
+/// Answer as stored for retries of the same request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// HTTP status.
@@ -25,7 +25,7 @@
 pub enum AttemptOutcome {
     /// The client received the whole answer.
     Answered {
-        /// Answer to store for repeats of a non-idempotent request.
+        /// Answer to store for retries of a non-idempotent request.
         answer: StoredAnswer,
         /// Tokens used, if the server reported them.
         used: Option<Tokens>,
@@ -53,7 +53,7 @@
 
 impl AttemptOutcome {
     /// Returns what is known about the execution; `None` when the request was answered.
-    pub(crate) fn ending(&self) -> Option<RunOutcome> {
+    pub(crate) fn run_outcome(&self) -> Option<RunOutcome> {
         match self {
             AttemptOutcome::Answered { .. } => None,
             AttemptOutcome::NotRun { .. } => Some(RunOutcome::NotRun),
--- a/crates/apricotwell_node/src/server_registry.rs
+++ b/crates/apricotwell_node/src/server_registry.rs
@@ -168,7 +168,8 @@
 
     /// Handles a report, or `None` when the server could not be reached.
     ///
-    /// Returns the bodies that were running when the server crashed, if it did.
+    /// Returns the bodies that were running when the server crashed, if it did. A server counts as
+    /// crashed if it can't be reached or has another incarnation than before.
     pub(crate) fn on_report(
         &mut self,
         now: Instant,
--- a/crates/apricotwell_node/src/settings.rs
+++ b/crates/apricotwell_node/src/settings.rs
@@ -39,7 +39,7 @@
     pub max_waiting: usize,
     /// Largest number of attempts per request.
     pub max_attempts: u32,
-    /// Largest answer that is stored for repeats, in bytes.
+    /// Largest answer that is stored for retries, in bytes.
     pub max_stored_answer: usize,
     /// How long claims are kept.
     pub claim_retention: Duration,
--- a/crates/apricotwell_node/src/status.rs
+++ b/crates/apricotwell_node/src/status.rs
@@ -63,7 +63,8 @@
     /// Fencing token of the lease.
     pub fence: u64,
     /// State of the lease for this instance: `held`, `waiting` or `not_held`.
-    pub standing: &'static str,
+    #[serde(rename = "standing")]
+    pub state: &'static str,
 }
 
 /// Status of a replica.
@@ -127,7 +128,7 @@
             shard,
             holder: lease.holder.to_string(),
             fence: lease.fence,
-            standing: match self.lease_state(now, shard) {
+            state: match self.lease_state(now, shard) {
                 LeaseState::Held { .. } => "held",
                 LeaseState::Waiting => "waiting",
                 LeaseState::NotHeld => "not_held",
@@ -172,9 +173,9 @@
             .map(replica_status)
             .collect();
         let lease = state.lease(state.model_shard(model));
-        let terms = state.load_spec(model);
+        let spec = state.load_spec(model);
         let (waiting, running) = self.model_demand(now, model);
-        let reason = if terms.is_none() {
+        let reason = if spec.is_none() {
             "it has no settings under /platform/models or /teams/ORG/adapters".to_owned()
         } else if let Some(reason) = self.placement_reason(model) {
             reason.to_owned()
@@ -191,7 +192,7 @@
         };
         ModelStatus {
             model: model.to_owned(),
-            version: terms.map(|(version, _, _)| version),
+            version: spec.map(|(version, _, _)| version),
             holder: lease.map(|lease| lease.holder.to_string()),
             replicas,
             waiting,
--- a/crates/apricotwell_node/src/submission.rs
+++ b/crates/apricotwell_node/src/submission.rs
@@ -54,7 +54,7 @@
     /// Returns the name of the queue that the request waits in.
     pub fn queue_name(&self) -> ModelId {
         match &self.target {
-            Target::Model(callable) => callable.model.clone(),
+            Target::Model(resolved) => resolved.model.clone(),
             Target::Service { pool, .. } => service_queue(pool),
         }
     }
--- a/crates/apricotwell_node/src/token_manager.rs
+++ b/crates/apricotwell_node/src/token_manager.rs
@@ -41,6 +41,7 @@
     // Exponentially decayed number of tokens used in `USE_WINDOW`.
     recent_use: f64,
     used_at: Instant,
+    // Whether tokens were settled since the latest token request, which carries the report.
     unreported: bool,
 }
 
@@ -358,7 +359,8 @@
         }
     }
 
-    // Starts a session with a new holder. Grants of the previous holder can still be spent.
+    // Starts a session with a new holder, numbered by the fence of its lease. Grants of the previous
+    // holder can still be spent.
     fn switch_holder(&mut self, fence: Fence) {
         if self.current.session() == fence {
             return;
--- a/crates/apricotwell_state/src/lease.rs
+++ b/crates/apricotwell_state/src/lease.rs
@@ -46,33 +46,34 @@
         self.leases.iter().map(|(shard, lease)| (*shard, lease))
     }
 
-    // Grants the leases on those shards whose current fence is the one in the record. Only the
-    // holder itself may grant a lease to another instance.
-    pub(crate) fn take(
+    // Grants the leases on those shards whose current fence is the one in the record. If a shard has
+    // a holder, only that holder may grant the lease to another instance than itself; every other
+    // writer can only take the lease for itself.
+    pub(crate) fn acquire(
         &mut self,
         offset: Offset,
         writer: &str,
         incarnation: Incarnation,
-        take: &AcquireLeases,
+        acquire: &AcquireLeases,
         shards: Shard,
     ) -> Result<(), RejectReason> {
-        if take.shards.len() != take.fences.len() {
+        if acquire.shards.len() != acquire.fences.len() {
             return Err(RejectReason::Unreadable);
         }
         let mut any_granted = false;
-        for (shard, fence) in take.shards.iter().zip(&take.fences) {
+        for (shard, fence) in acquire.shards.iter().zip(&acquire.fences) {
             let current = self.leases.get(shard);
             if *shard >= shards || current.map_or(0, |lease| lease.fence) != *fence {
                 continue;
             }
             let handed = current
                 .is_none_or(|lease| &*lease.holder == writer && lease.incarnation == incarnation);
-            if !handed && take.holder != writer {
+            if !handed && acquire.holder != writer {
                 continue;
             }
             let lease = Lease {
-                holder: take.holder.as_str().into(),
-                incarnation: take.incarnation,
+                holder: acquire.holder.as_str().into(),
+                incarnation: acquire.incarnation,
                 fence: offset,
                 previous: *fence,
                 handed,
--- a/crates/apricotwell_state/src/lib.rs
+++ b/crates/apricotwell_state/src/lib.rs
@@ -15,8 +15,8 @@
 //! use apricotwell_state::prelude::*;
 //!
 //! let mut state = State::new(Genesis { root_key: String::new(), shards: 8 });
-//! let take = AcquireLeases { shards: vec![3], fences: vec![0], holder: "entry-1".into(), incarnation: 1 };
-//! let record = Record::new("entry-1", 1, 1, Body::AcquireLeases(take));
+//! let acquire = AcquireLeases { shards: vec![3], fences: vec![0], holder: "entry-1".into(), incarnation: 1 };
+//! let record = Record::new("entry-1", 1, 1, Body::AcquireLeases(acquire));
 //! assert_eq!(state.apply(1, &record), Ok(()));
 //! assert_eq!(state.lease(3).unwrap().fence, 1);
 //! ```
--- a/crates/apricotwell_state/src/rejection.rs
+++ b/crates/apricotwell_state/src/rejection.rs
@@ -7,7 +7,8 @@
 /// Why a record was rejected; the same on every instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The record was already applied, or a later one of the same writer was.
+    /// The record or a later one of the same writer was already applied, or the record changes
+    /// nothing.
     Duplicate,
     /// The bytes can't be decoded, or this version does not know the kind of record.
     Unreadable,
@@ -23,13 +24,14 @@
     Malformed(String),
     /// The record was decided under a lease or fence that is no longer current.
     StaleFence,
-    /// The record's server or replica is unknown or of another incarnation.
+    /// The record's model, server or replica is unknown, the server has another incarnation, or the
+    /// base model of an adapter is not loaded on the server.
     UnknownTarget,
-    /// The model has all replicas that its settings allow.
+    /// The model has all replicas that its settings allow, or one of this version on the server.
     ReplicaLimit,
     /// The server has too little memory left.
     MemoryLimit,
-    /// The replica's phase does not allow the change.
+    /// The replica's phase, or an adapter on the same server, does not allow the change.
     WrongPhase,
 }
 
--- a/crates/apricotwell_state/src/state.rs
+++ b/crates/apricotwell_state/src/state.rs
@@ -330,10 +330,10 @@
         self.check_writer(record)?;
         match body {
             Body::PutConfig(_) => Err(RejectReason::Unreadable),
-            Body::AcquireLeases(take) => {
+            Body::AcquireLeases(acquire) => {
                 let shards = self.genesis.shards;
                 let leases = &mut self.leases;
-                leases.take(offset, &record.writer, record.incarnation, take, shards)
+                leases.acquire(offset, &record.writer, record.incarnation, acquire, shards)
             }
             Body::DecideLoad(decide) => self.apply_decide(offset, record, decide),
             Body::RetireReplica(retire) => {
--- a/crates/apricotwell_state/tests/fold.rs
+++ b/crates/apricotwell_state/tests/fold.rs
@@ -45,13 +45,13 @@
             );
         }
         assert_eq!(fixture.write("a", server_up("s", 1)), Ok(()));
-        let take = AcquireLeases {
+        let acquire = AcquireLeases {
             shards: vec![0, 1, 2, 3],
             fences: vec![0; 4],
             holder: "a".to_owned(),
             incarnation: 1,
         };
-        assert_eq!(fixture.write("a", Body::AcquireLeases(take)), Ok(()));
+        assert_eq!(fixture.write("a", Body::AcquireLeases(acquire)), Ok(()));
         fixture
     }
 
@@ -189,18 +189,18 @@
         Err(RejectReason::StaleFence)
     );
     let shard = fixture.state.model_shard("m");
-    let take = AcquireLeases {
+    let acquire = AcquireLeases {
         shards: vec![shard],
         fences: vec![fence],
         holder: "b".to_owned(),
         incarnation: 1,
     };
     assert_eq!(
-        fixture.write("b", Body::AcquireLeases(take.clone())),
+        fixture.write("b", Body::AcquireLeases(acquire.clone())),
         Ok(())
     );
     assert_eq!(
-        fixture.write("c", Body::AcquireLeases(take)),
+        fixture.write("c", Body::AcquireLeases(acquire)),
         Err(RejectReason::StaleFence)
     );
     assert_eq!(
@@ -286,13 +286,13 @@
         Err(RejectReason::ReplicaLimit)
     );
     // The outcome of the earlier holder's load is unknown, so its memory stays reserved.
-    let take = AcquireLeases {
+    let acquire = AcquireLeases {
         shards: vec![fixture.state.model_shard("m")],
         fences: vec![fence],
         holder: "b".to_owned(),
         incarnation: 1,
     };
-    assert_eq!(fixture.write("b", Body::AcquireLeases(take)), Ok(()));
+    assert_eq!(fixture.write("b", Body::AcquireLeases(acquire)), Ok(()));
     let fence = fixture.fence("m");
     assert_eq!(fixture.decide_on("b", "m", fence, "t", 1), Ok(()));
     assert_eq!(
