--- a/crates/apricotwell_dispatch/src/orders.rs
+++ b/crates/apricotwell_dispatch/src/orders.rs
@@ -115,7 +115,7 @@
 ///
 /// At most one order is pending. `inventory` covers only what the server certainly holds: a pending
 /// load needs additional memory, the unload of a model frees none before the server has accepted it,
-/// and that of an adapter none before the server reports it.
+/// and the unload of an adapter none before a reply or report shows that the adapter is gone.
 #[derive(Clone, Debug)]
 pub struct ServerOrders {
     started_ms: u64,
