--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -15,7 +15,8 @@
 
 use crate::Action;
 
-/// Delay before an append is repeated; an unanswered read is repeated after five times as long.
+/// Delay before an append is repeated; a failed or unanswered read is repeated after five times as
+/// long.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Time after which a claim without a verdict is rejected as unavailable.
 const MAX_CLAIM_AGE: Duration = Duration::from_secs(2);
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -70,7 +70,7 @@
     last_ticket: u64,
     // When the API keys were last known to be up to date.
     keys_confirmed: Instant,
-    // Whether the state has ever reached the end of the log or been restored from a peer.
+    // Whether the state has ever reached the end of the log or caught up with a peer.
     caught_up: bool,
     was_ready: bool,
     last_view: &'static str,
@@ -150,9 +150,9 @@
 
     /// Returns whether the API keys are known well enough to authenticate clients.
     ///
-    /// While every member reports that the log is unreachable, no key can have been withdrawn.
-    /// When only a majority reports it, the other members may still reach the log, so keys are
-    /// accepted for [`NodeSettings::key_grace`] only.
+    /// While every member confirms that the log is out, no member can know of a withdrawn key that
+    /// this instance still accepts. When only a majority confirms it, the other members may still
+    /// reach the log, so keys are accepted for [`NodeSettings::key_grace`] only.
     pub(crate) fn can_check_keys(&self, now: Instant) -> bool {
         let grace = self.settings.key_grace;
         self.caught_up
@@ -247,8 +247,9 @@
 
     /// Handles a chunk from the checkpoint stream.
     ///
-    /// Returns whether the chunk completed a checkpoint that replaced the state. Incomplete and
-    /// interleaved checkpoints are ignored.
+    /// Returns whether the chunk completed a checkpoint that replaced the state. Chunks of several
+    /// checkpoints may be interleaved. A checkpoint that is incomplete, corrupt or not newer than the
+    /// state has no effect.
     pub fn on_checkpoint_chunk(&mut self, now: Instant, bytes: &[u8]) -> bool {
         let Ok(chunk) = prost::Message::decode(bytes) else {
             return false;
--- a/crates/apricotwell_node/src/node/serving.rs
+++ b/crates/apricotwell_node/src/node/serving.rs
@@ -20,7 +20,7 @@
 use crate::token_manager::{HolderRef, Reservation};
 use crate::{Action, AttemptOutcome, Dispatch, Submission, Target};
 
-/// Retry delay sent to clients whose request was rejected for lack of capacity.
+/// Retry delay sent to clients whose request failed for a temporary reason, such as a full queue.
 pub(super) const BUSY_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 type CandidateCache = BTreeMap<ModelId, Vec<(Candidate, Option<ReplicaId>)>>;
