--- a/crates/apricotwell_node/src/claim_client.rs
+++ b/crates/apricotwell_node/src/claim_client.rs
@@ -5,7 +5,7 @@
 
 use apricotwell_claims::{BodyDigest, ClaimOutcome, RecordedAnswer};
 use apricotwell_messages::{ClaimFinish, ClaimReply, ClaimRequest, ClaimVerdict, Message};
-use apricotwell_records::Finished;
+use apricotwell_records::AttemptFinished;
 use apricotwell_types::{RequestId, RunOutcome, Shard};
 
 /// Delay before an unanswered message is sent again.
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 struct UnrecordedOutcome {
     shard: Shard,
-    finished: Finished,
+    finished: AttemptFinished,
     sent: Option<Instant>,
 }
 
@@ -88,8 +88,8 @@
         outcome: &ClaimOutcome,
     ) {
         if self.unrecorded.len() >= MAX_UNRECORDED {
-            // The claim stays without an outcome; repeats are told that the attempt is in progress
-            // or that its outcome is unknown.
+            // The claim stays without an outcome. Retries get the error that the attempt is in
+            // progress or, once this process has ended, that its outcome is unknown.
             return;
         }
         let report = UnrecordedOutcome {
@@ -162,9 +162,9 @@
     }
 }
 
-fn recorded_result(finished: &Finished) -> ClaimResult {
+fn recorded_result(finished: &AttemptFinished) -> ClaimResult {
     match RunOutcome::from_name(&finished.outcome) {
-        Some(ending) => ClaimResult::Ended(ending),
+        Some(run_outcome) => ClaimResult::Ended(run_outcome),
         None => ClaimResult::Answered(RecordedAnswer {
             status: finished.status as u16,
             content_type: finished.content_type.clone(),
--- a/crates/apricotwell_node/src/claim_coordinator.rs
+++ b/crates/apricotwell_node/src/claim_coordinator.rs
@@ -8,20 +8,21 @@
     ClaimFinish, ClaimFinishAck, ClaimReply, ClaimRequest, ClaimVerdict, Message,
 };
 use apricotwell_records::{
-    AppendError, ClaimBody, ClaimRecord, Claimed, Finished, LogBatch, Opened, ReadError,
-    claim_stream,
+    AppendError, AttemptFinished, ClaimBody, ClaimRecord, KeyClaimed, LogBatch, ReadError,
+    StreamOpened, claim_stream,
 };
 use apricotwell_types::{Fence, InstanceId, Offset, RunOutcome, Shard};
 
 use crate::Action;
 
-/// Delay before an append is repeated; an unanswered read is repeated after five times as long.
+/// Delay before an append is repeated; a failed or unanswered read is repeated after five times as
+/// long.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Time after which a claim without a verdict is rejected as unavailable.
 const MAX_CLAIM_AGE: Duration = Duration::from_secs(2);
 /// Time that a claim waits for the outcome of another attempt with its key.
 const MAX_HELD_WAIT: Duration = Duration::from_millis(1000);
-/// Largest number of claims, outcomes or rewritten claims in one append.
+/// Largest number of claims, of outcomes, and of rewritten claims in one append.
 const MAX_GROUP: usize = 64;
 /// Largest number of claims, and of outcomes, that wait on one shard.
 const MAX_QUEUE: usize = 4096;
@@ -39,7 +40,7 @@
 #[derive(Debug)]
 struct PendingOutcome {
     from: InstanceId,
-    finished: Finished,
+    finished: AttemptFinished,
 }
 
 #[derive(Debug)]
@@ -155,9 +156,9 @@
         let mut replies = Vec::new();
         let mut actions = Vec::new();
         let wall_ms = wall.as_millis() as u64;
-        let oldest = wall_ms.saturating_sub(retention.as_millis() as u64);
+        let oldest_ms = wall_ms.saturating_sub(retention.as_millis() as u64);
         for (shard, held) in &mut self.shards {
-            held.table.remove_expired(oldest);
+            held.table.remove_expired(oldest_ms);
             held.reject_expired(now, &mut replies);
             held.send_verdicts(now, &has_ended, &mut replies);
             actions.extend(held.append(now, *shard, wall_ms, last_ticket));
@@ -401,16 +402,16 @@
                 return Vec::new();
             }
             self.opening = true;
-            return vec![ClaimBody::Opened(Opened {})];
+            return vec![ClaimBody::StreamOpened(StreamOpened {})];
         }
         let outcomes = self.outcomes.iter().take(MAX_GROUP);
         let mut bodies: Vec<ClaimBody> = outcomes
-            .map(|outcome| ClaimBody::Finished(outcome.finished.clone()))
+            .map(|outcome| ClaimBody::AttemptFinished(outcome.finished.clone()))
             .collect();
         let table = &self.table;
         let is_free = |waiting: &&PendingClaim| is_free(table, &waiting.claim);
         for waiting in self.pending.iter().filter(is_free).take(MAX_GROUP) {
-            bodies.push(ClaimBody::Claimed(Claimed {
+            bodies.push(ClaimBody::KeyClaimed(KeyClaimed {
                 key: waiting.claim.key.clone(),
                 body: waiting.claim.body.clone(),
                 attempt: waiting.claim.attempt.clone(),
@@ -461,7 +462,7 @@
     outcomes: &mut Vec<PendingOutcome>,
     claim: &ClaimRequest,
     has_ended: &F,
-) -> Option<(ClaimVerdict, Option<Finished>)>
+) -> Option<(ClaimVerdict, Option<AttemptFinished>)>
 where
     F: Fn(&str) -> bool,
 {
@@ -498,7 +499,7 @@
 
 // An outcome is recorded once its claim has an outcome, or no longer exists because the attempt
 // did not run.
-fn is_recorded(table: &ClaimTable, finished: &Finished) -> bool {
+fn is_recorded(table: &ClaimTable, finished: &AttemptFinished) -> bool {
     let Some(key) = BodyDigest::from_slice(&finished.key) else {
         return true;
     };
@@ -516,8 +517,8 @@
 
 fn claimed_attempts(bodies: &[ClaimBody]) -> Vec<String> {
     let attempt = |body: &ClaimBody| match body {
-        ClaimBody::Claimed(claimed) => Some(claimed.attempt.clone()),
-        ClaimBody::Opened(_) | ClaimBody::Finished(_) => None,
+        ClaimBody::KeyClaimed(claimed) => Some(claimed.attempt.clone()),
+        ClaimBody::StreamOpened(_) | ClaimBody::AttemptFinished(_) => None,
     };
     bodies.iter().filter_map(attempt).collect()
 }
@@ -534,7 +535,7 @@
     to: InstanceId,
     attempt: &str,
     verdict: ClaimVerdict,
-    finished: Option<Finished>,
+    finished: Option<AttemptFinished>,
 ) -> Reply {
     let reply = ClaimReply {
         attempt: attempt.to_owned(),
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -70,7 +70,7 @@
     last_ticket: u64,
     // When the API keys were last known to be up to date.
     keys_confirmed: Instant,
-    // Whether the state has ever reached the end of the log or been restored from a peer.
+    // Whether the state has ever reached the end of the log or caught up with a peer.
     caught_up: bool,
     was_ready: bool,
     last_view: &'static str,
@@ -145,14 +145,14 @@
 
     /// Returns whether this instance accepts requests from clients.
     pub fn is_ready(&self, now: Instant) -> bool {
-        !self.fleet.is_leaving() && self.can_check_keys(now)
+        !self.fleet.is_draining() && self.can_check_keys(now)
     }
 
     /// Returns whether the API keys are known well enough to authenticate clients.
     ///
-    /// While every member reports that the log is unreachable, no key can have been withdrawn.
-    /// When only a majority reports it, the other members may still reach the log, so keys are
-    /// accepted for [`NodeSettings::key_grace`] only.
+    /// While every member confirms that the log is out, no member can know of a withdrawn key that
+    /// this instance still accepts. When only a majority confirms it, the other members may still
+    /// reach the log, so keys are accepted for [`NodeSettings::key_grace`] only.
     pub(crate) fn can_check_keys(&self, now: Instant) -> bool {
         let grace = self.settings.key_grace;
         self.caught_up
@@ -167,8 +167,8 @@
     }
 
     /// Returns whether the instance is draining.
-    pub fn is_leaving(&self) -> bool {
-        self.fleet.is_leaving()
+    pub fn is_draining(&self) -> bool {
+        self.fleet.is_draining()
     }
 
     /// Returns whether a draining instance has finished all its work.
@@ -206,7 +206,7 @@
 
     /// Starts to drain: hands over held shards and takes no new ones.
     pub fn leave(&mut self, now: Instant) {
-        if !self.fleet.is_leaving() {
+        if !self.fleet.is_draining() {
             let messages = self.fleet.leave(now, self.state.next());
             for (to, envelope) in messages {
                 self.actions.push(Action::Send { to, envelope });
@@ -247,8 +247,9 @@
 
     /// Handles a chunk from the checkpoint stream.
     ///
-    /// Returns whether the chunk completed a checkpoint that replaced the state. Incomplete and
-    /// interleaved checkpoints are ignored.
+    /// Returns whether the chunk completed a checkpoint that replaced the state. Chunks of several
+    /// checkpoints may be interleaved. A checkpoint that is incomplete, corrupt or not newer than the
+    /// state has no effect.
     pub fn on_checkpoint_chunk(&mut self, now: Instant, bytes: &[u8]) -> bool {
         let Ok(chunk) = prost::Message::decode(bytes) else {
             return false;
@@ -331,15 +332,15 @@
             let state = format!("{:?}", member.update.state).to_lowercase();
             (member.update.contact.id.to_string(), state)
         };
-        let contact = self.fleet.view_age(now);
+        let view_age = self.fleet.view_age(now);
         InstanceStatus {
             id: self.settings.id.to_string(),
             incarnation: self.settings.incarnation,
             zone: self.settings.zone.to_string(),
             ready: self.is_ready(now),
-            leaving: self.is_leaving(),
+            leaving: self.is_draining(),
             view: self.view(now).name().to_owned(),
-            contact_ms: contact.map(|age| age.as_millis() as u64),
+            contact_ms: view_age.map(|age| age.as_millis() as u64),
             next_offset: self.state.next(),
             requests: self.requests.len(),
             claims: self.claim_coordinator.claims(),
@@ -353,15 +354,15 @@
     /// that the traffic of one organisation and model goes to few instances.
     pub fn ranked_instances(&self, now: Instant, zone: &str, affinity: &str) -> Vec<InstanceId> {
         let item = u64::from(shard_of(affinity, Shard::MAX));
-        let mut open = self.fleet.ready_members();
+        let mut ready = self.fleet.ready_members();
         if !self.is_ready(now) {
-            open.retain(|(id, _)| *id != self.settings.id);
+            ready.retain(|(id, _)| *id != self.settings.id);
         }
-        open.sort_by_key(|(id, member_zone)| {
+        ready.sort_by_key(|(id, member_zone)| {
             let is_remote = member_zone != zone;
             (is_remote, std::cmp::Reverse(rendezvous_rank(item, id)))
         });
-        open.into_iter().map(|(id, _)| id).collect()
+        ready.into_iter().map(|(id, _)| id).collect()
     }
 
     fn apply_records(&mut self, now: Instant, first: Offset, records: Vec<Vec<u8>>) {
@@ -493,8 +494,8 @@
             Some(Body::PutConfig(put)) => {
                 Event::new(EventKind::ConfigApplied).with_detail(put.path)
             }
-            Some(Body::AcquireLeases(take)) => {
-                let detail = format!("{} takes {:?}", take.holder, take.shards);
+            Some(Body::AcquireLeases(acquire)) => {
+                let detail = format!("{} takes {:?}", acquire.holder, acquire.shards);
                 Event::new(EventKind::LeaseTaken).with_detail(detail)
             }
             Some(Body::DecideLoad(decide)) => Event::new(EventKind::ReplicaDecided)
