--- a/crates/apricotwell_gateway/src/adapter.rs
+++ b/crates/apricotwell_gateway/src/adapter.rs
@@ -195,7 +195,7 @@
     ) -> impl Future<Output = Result<Membership, StoreError>>;
 
     /// Saves the fleet's quota usage; replaces the usage saved before.
-    fn save_usage(&self, spending: &[u8]) -> impl Future<Output = Result<(), StoreError>>;
+    fn save_usage(&self, usage: &[u8]) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Loads the usage saved last; returns `None` if none was saved.
     fn load_usage(&self) -> impl Future<Output = Result<Option<Vec<u8>>, StoreError>>;
--- a/crates/apricotwell_gateway/src/daemon.rs
+++ b/crates/apricotwell_gateway/src/daemon.rs
@@ -84,8 +84,8 @@
     stop.await?;
     shut_down(&gateway).await;
     lines.flush();
-    let begun = Instant::now();
-    while !lines.is_written() && begun.elapsed() < LOG_FLUSH_TIMEOUT {
+    let start = Instant::now();
+    while !lines.is_written() && start.elapsed() < LOG_FLUSH_TIMEOUT {
         tokio::time::sleep(LOG_FLUSH_POLL_INTERVAL).await;
     }
     Ok(())
@@ -164,8 +164,8 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let mut connection = pin!(connection);
-    let stopping = pin!(gateway.shutdown.notified());
-    let ended = futures_util::future::select(connection.as_mut(), stopping).await;
+    let shutdown = pin!(gateway.shutdown.notified());
+    let ended = futures_util::future::select(connection.as_mut(), shutdown).await;
     if let futures_util::future::Either::Right(_) = ended {
         connection.as_mut().graceful_shutdown();
         if let Err(error) = connection.await {
@@ -216,7 +216,7 @@
         if addresses.is_empty() {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        return P::ClientProtocol::encode_lookup(&addresses, gateway.times.lookup_ttl)
+        return P::ClientProtocol::encode_lookup(&addresses, gateway.timings.lookup_ttl)
             .map(Full::new);
     }
     if head.uri.path() == "/metrics" {
@@ -295,13 +295,13 @@
         .log();
     gateway.dispatcher.borrow_mut().start_draining();
     gateway.heartbeat_due.notify_one();
-    let begun = Instant::now();
-    let leaving = Rc::clone(gateway);
-    actix::spawn(async move { membership::leave(&leaving).await });
-    let end = gateway.times.grace.saturating_sub(SHUTDOWN_MARGIN);
+    let start = Instant::now();
+    let shared = Rc::clone(gateway);
+    actix::spawn(async move { membership::leave(&shared).await });
+    let end = gateway.timings.grace.saturating_sub(SHUTDOWN_MARGIN);
     tokio::time::sleep(MIN_SHUTDOWN_DELAY.min(end)).await;
     gateway.shutdown.notify_waiters();
-    while begun.elapsed() < end && gateway.active_requests.get() > 0 {
+    while start.elapsed() < end && gateway.active_requests.get() > 0 {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     Event::new("stopped")
--- a/crates/apricotwell_gateway/src/feed_queries.rs
+++ b/crates/apricotwell_gateway/src/feed_queries.rs
@@ -70,10 +70,10 @@
             if let Err(error) = socket.send_to(&datagram.encode_to_vec(), &**peer).await {
                 log::debug!("failed to send a query to {peer}: {error}");
             }
-            let answer = tokio::time::timeout(RESPONSE_TIMEOUT, receiver).await;
+            let response = tokio::time::timeout(RESPONSE_TIMEOUT, receiver).await;
             self.pending.borrow_mut().remove(&number);
-            if let Ok(Ok(answer)) = answer {
-                return decode_answer(sent, from, &answer);
+            if let Ok(Ok(response)) = response {
+                return decode_answer(sent, from, &response);
             }
         }
         None
@@ -89,10 +89,10 @@
     }
 
     /// Delivers a response to its query; drops it if the query is no longer pending.
-    pub fn deliver(&self, answer: FeedResponse) {
-        if let Some(sender) = self.pending.borrow_mut().remove(&answer.number) {
+    pub fn deliver(&self, response: FeedResponse) {
+        if let Some(sender) = self.pending.borrow_mut().remove(&response.number) {
             // The querying task may have timed out or been dropped.
-            let _ = sender.send(answer);
+            let _ = sender.send(response);
         }
     }
 }
--- a/crates/apricotwell_gateway/src/feeds.rs
+++ b/crates/apricotwell_gateway/src/feeds.rs
@@ -29,7 +29,7 @@
 /// immediate, since most often only the connection was broken.
 const RETRY_DELAY_STEP: Duration = Duration::from_millis(400);
 /// Consecutive failures after which the backoff stops growing.
-const MAX_RETRY_STEPS: u32 = 4;
+const MAX_BACKOFF_FAILURES: u32 = 4;
 /// Time after a store outage during which servers removed from the list are still used. By its end,
 /// the entries of running servers are back in the list.
 const REJOIN_TIME: Duration = Duration::from_millis(2200);
@@ -133,7 +133,7 @@
     fn max_age(&self) -> Duration {
         match self.feed {
             Feed::Configuration => MAX_CONFIGURATION_AGE,
-            Feed::Servers => self.gateway.times.drain.mul_f64(MAX_SERVERS_AGE_FRACTION),
+            Feed::Servers => self.gateway.timings.drain.mul_f64(MAX_SERVERS_AGE_FRACTION),
         }
     }
 
@@ -158,7 +158,7 @@
                 let confirmed_at = page.is_end.then_some(confirmed_at);
                 self.apply(confirmed_at, page);
                 if pauses {
-                    self.gateway.times.drain.mul_f64(SERVERS_READ_FRACTION)
+                    self.gateway.timings.drain.mul_f64(SERVERS_READ_FRACTION)
                 } else {
                     Duration::ZERO
                 }
@@ -169,7 +169,7 @@
             }
             Err(error) => {
                 self.record_failure(&error);
-                RETRY_DELAY_STEP * (self.failures.min(MAX_RETRY_STEPS) - 1)
+                RETRY_DELAY_STEP * (self.failures.min(MAX_BACKOFF_FAILURES) - 1)
             }
         }
     }
--- a/crates/apricotwell_gateway/src/gateway.rs
+++ b/crates/apricotwell_gateway/src/gateway.rs
@@ -40,7 +40,7 @@
 pub struct Timings {
     /// Time between a request to stop and the exit of the process.
     pub grace: Duration,
-    /// Time after which a leaving server must not receive new requests.
+    /// Time within which instances must stop sending new requests to a server that starts to drain.
     pub drain: Duration,
     /// Time for which clients may cache the response to an address lookup.
     pub lookup_ttl: Duration,
@@ -66,7 +66,7 @@
     /// Addresses on which the instance listens.
     pub listeners: ListenAddresses,
     /// Configured durations.
-    pub times: Timings,
+    pub timings: Timings,
     /// Notified when a waiting request may find a server.
     pub servers_changed: Notify,
     /// Notified when a change should be sent to all other instances at once.
@@ -97,23 +97,23 @@
 {
     /// Creates an instance that has not yet read any feed.
     pub fn new(
-        facts: InstanceConfig,
+        config: InstanceConfig,
         listeners: ListenAddresses,
-        times: Timings,
+        timings: Timings,
         pool: Rc<ConnectionPool>,
         store: P::Store,
         engines: P::EngineClient,
     ) -> Rc<Self> {
-        let feed_queries = FeedQueries::new(facts.incarnation);
+        let feed_queries = FeedQueries::new(config.incarnation);
         Rc::new(Self {
-            dispatcher: RefCell::new(Dispatcher::new(facts)),
+            dispatcher: RefCell::new(Dispatcher::new(config)),
             clock: BootClock::new(),
             pool,
             store,
             engines,
             metrics: Metrics::new(),
             listeners,
-            times,
+            timings,
             servers_changed: Notify::new(),
             heartbeat_due: Notify::new(),
             demand_changed: Notify::new(),
--- a/crates/apricotwell_gateway/src/handler.rs
+++ b/crates/apricotwell_gateway/src/handler.rs
@@ -46,7 +46,7 @@
     pub excluded: Vec<ServerId>,
     /// Number of attempts that a server ran or may have run.
     pub runs: u32,
-    // Number of attempts that were not sent or that a server rejected without running them.
+    // Number of attempts that could not be sent or that a server rejected without running them.
     rejections: usize,
     /// Time at which a server was selected for the last attempt.
     server_found: Option<Instant>,
@@ -67,9 +67,9 @@
 {
     /// The server responded to this attempt.
     Response(Box<StreamingResponse>, FlightGuard<P>),
-    /// No server ran the attempt; the reason.
+    /// The server did not run the attempt; holds the reason.
     NotRun(String),
-    /// The server may have run the attempt, but there is no valid response; the reason.
+    /// The server may have run the attempt, but there is no valid response; holds the reason.
     Lost(String),
 }
 
@@ -365,7 +365,7 @@
         AttemptOutcome::Response(Box::new(response), flight)
     }
 
-    // Records that the server does not have the requested model.
+    // Records that the server rejected a request for the requested model.
     fn record_rejection(&self, server: &ServerId) {
         let Some(model) = &self.admission.requested_model else {
             return;
@@ -405,10 +405,11 @@
         }
     }
 
-    // Returns whether a waiting request must be refused because the instance is stopping. Until
-    // then, the rest of the grace period is long enough to serve it.
+    // Returns whether a waiting request must be refused because the instance is stopping. It is
+    // refused well before the grace period ends, so that the client still receives the response and
+    // can retry on another instance.
     fn must_stop_waiting(&self) -> bool {
-        let limit = self.gateway.times.grace.mul_f64(WAIT_GRACE_FRACTION);
+        let limit = self.gateway.timings.grace.mul_f64(WAIT_GRACE_FRACTION);
         self.gateway
             .time_since_stop()
             .is_some_and(|time| time > limit)
--- a/crates/apricotwell_gateway/src/heartbeats.rs
+++ b/crates/apricotwell_gateway/src/heartbeats.rs
@@ -185,7 +185,7 @@
         models: demand,
         ..heartbeat.clone()
     };
-    let (plain_bytes, demand_bytes) = (encode(heartbeat), encode(with_demand));
+    let (plain_bytes, demand_bytes) = (encode_heartbeat(heartbeat), encode_heartbeat(with_demand));
     for target in targets {
         let is_holder = holder.as_ref().is_none_or(|holder| *holder == target);
         if recipients == Recipients::LeaseHolder && !is_holder {
@@ -200,7 +200,7 @@
     }
 }
 
-fn encode(heartbeat: Heartbeat) -> Vec<u8> {
+fn encode_heartbeat(heartbeat: Heartbeat) -> Vec<u8> {
     let datagram = Datagram {
         heartbeat: Some(heartbeat),
         ..Datagram::default()
@@ -231,9 +231,9 @@
         }
         if let Some(query) = datagram.query {
             let now = gateway.now();
-            let answer = gateway.dispatcher.borrow().feeds.answer(now, &query);
+            let response = gateway.dispatcher.borrow().feeds.answer(now, &query);
             let datagram = Datagram {
-                response: answer,
+                response,
                 ..Datagram::default()
             };
             // Without a response, the other instance reads the store.
@@ -241,8 +241,8 @@
                 log::debug!("failed to send a response to {sender}: {error}");
             }
         }
-        if let Some(answer) = datagram.response {
-            gateway.feed_queries.deliver(answer);
+        if let Some(response) = datagram.response {
+            gateway.feed_queries.deliver(response);
         }
     }
 }
@@ -252,11 +252,11 @@
     P: Platform,
 {
     let now = gateway.now();
-    let newer = gateway
+    let is_newer = gateway
         .dispatcher
         .borrow_mut()
         .apply_heartbeat(now, heartbeat);
-    if !newer {
+    if !is_newer {
         return;
     }
     if heartbeat.models.iter().any(|usage| usage.waiting > 0) {
--- a/crates/apricotwell_gateway/src/metrics.rs
+++ b/crates/apricotwell_gateway/src/metrics.rs
@@ -15,7 +15,7 @@
 /// Labels of the counters.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// Outcome of a request, or kind of a store call or order.
+    /// Outcome of a request, kind of a store call or operation of an order.
     pub outcome: String,
 }
 
@@ -72,8 +72,8 @@
     }
 
     /// Counts a store call by kind.
-    pub fn count_store_call(&self, outcome: &str) {
-        count(&self.store_calls, outcome);
+    pub fn count_store_call(&self, kind: &str) {
+        count(&self.store_calls, kind);
     }
 
     /// Returns the total number of store calls of each kind.
@@ -87,8 +87,8 @@
     }
 
     /// Counts an order by operation.
-    pub fn count_order(&self, outcome: &str) {
-        count(&self.orders, outcome);
+    pub fn count_order(&self, operation: &str) {
+        count(&self.orders, operation);
     }
 
     /// Raises the counter of dropped log lines to `total`.
--- a/crates/apricotwell_gateway/src/requests.rs
+++ b/crates/apricotwell_gateway/src/requests.rs
@@ -292,8 +292,8 @@
     } else {
         RefusalKind::BackendFailed
     };
-    let ending = apricotwell_types::RunOutcome::Unknown;
-    Err(Some(Refusal::not_run(kind, reason).with_outcome(ending)))
+    let outcome = apricotwell_types::RunOutcome::Unknown;
+    Err(Some(Refusal::not_run(kind, reason).with_outcome(outcome)))
 }
 
 // Ends a request with a refusal; refunds its tokens if no server ran it.
--- a/crates/apricotwell_gateway/tests/events.rs
+++ b/crates/apricotwell_gateway/tests/events.rs
@@ -31,12 +31,12 @@
     let (written, batches) = channel();
     let writer = LineWriter::start(BlockedOutput { permits, written });
     let line = "x".repeat(1000);
-    let begun = Instant::now();
+    let start = Instant::now();
     for _ in 0..5_000 {
         writer.push(&line);
         writer.flush();
     }
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    assert!(start.elapsed() < Duration::from_secs(2));
     assert!(writer.dropped() > 4_000, "{} dropped", writer.dropped());
     assert!(!writer.is_written());
     for _ in 0..8 {
