--- a/crates/apricotwell_membership/src/member.rs
+++ b/crates/apricotwell_membership/src/member.rs
@@ -35,7 +35,7 @@
 pub struct Update {
     /// Identity and location.
     pub contact: Contact,
-    /// Incarnation of its process; 0 for a listed member that no message has come from yet.
+    /// Incarnation of its process; 0 while the member is known only from the platform's list.
     pub incarnation: Incarnation,
     /// Counter that the member raises to refute a suspicion or to announce that it leaves.
     pub revision: u32,
--- a/crates/apricotwell_messages/src/member_update.rs
+++ b/crates/apricotwell_messages/src/member_update.rs
@@ -17,7 +17,7 @@
     /// Incarnation number of its process.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Number of suspicions that it has refuted.
+    /// Counter that the member raises to refute a suspicion or to announce that it leaves.
     #[prost(uint32, tag = "5")]
     pub revision: u32,
     /// State: 0 alive, 1 suspect, 2 leaving, 3 dead.
--- a/crates/apricotwell_records/src/claim.rs
+++ b/crates/apricotwell_records/src/claim.rs
@@ -31,7 +31,7 @@
 /// Content of a claim record.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum ClaimBody {
-    /// Starts a holder's lease; voids later records with lower fencing tokens.
+    /// Opens the stream for a new lease holder; voids later records with lower fencing tokens.
     #[prost(message, tag = "10")]
     StreamOpened(StreamOpened),
     /// Reserves an idempotency key for one attempt.
@@ -42,7 +42,7 @@
     AttemptFinished(AttemptFinished),
 }
 
-/// Starts a holder's lease on a claim stream.
+/// Opens a claim stream for a new lease holder.
 #[derive(Clone, PartialEq, Message)]
 pub struct StreamOpened {}
 
--- a/crates/apricotwell_routing/src/health.rs
+++ b/crates/apricotwell_routing/src/health.rs
@@ -20,13 +20,13 @@
 }
 
 impl ServerHealth {
-    /// Records a request that succeeded on the server.
+    /// Records that the server handled a request, which resets its failures and ejections.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.ejections = 0;
     }
 
-    /// Records a request that failed on the server.
+    /// Records that the server failed to answer; ejects it after `MAX_FAILURES` in a row.
     pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures < MAX_FAILURES {
--- a/crates/apricotwell_routing/src/router.rs
+++ b/crates/apricotwell_routing/src/router.rs
@@ -13,7 +13,8 @@
 const PREFIX_BONUS: f64 = 0.30;
 /// Time over which the penalty of a new replica falls to 0.
 const RAMP_TIME: Duration = Duration::from_secs(5);
-/// Score penalty of a replica that has just become ready; a fully loaded server has a score of 1.
+/// Score penalty of a replica that has just become ready, unless its server is idle; a fully loaded
+/// server has a score of 1.
 const RAMP_PENALTY: f64 = 0.5;
 /// Largest number of prefixes kept.
 const MAX_PREFIXES: usize = 8192;
@@ -126,7 +127,9 @@
         }
     }
 
-    /// Records the end of a request; `healthy` is false if the server caused its failure.
+    /// Records the end of a request.
+    ///
+    /// `healthy` is true if the server answered, even with an error, or if the client disconnected.
     pub fn end_request(&mut self, now: Instant, server: &str, healthy: bool) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
--- a/crates/apricotwell_types/src/lib.rs
+++ b/crates/apricotwell_types/src/lib.rs
@@ -46,7 +46,7 @@
 pub type Fence = u64;
 /// Id of a replica: the offset of the record that decided to load it.
 pub type ReplicaId = u64;
-/// Index of a shard.
+/// Index of a shard; instances acquire leases on shards.
 pub type Shard = u32;
 /// Number of model tokens.
 pub type Tokens = u64;
--- a/crates/apricotwell_types/src/rendezvous.rs
+++ b/crates/apricotwell_types/src/rendezvous.rs
@@ -31,7 +31,8 @@
     (mix(hash.finish()) % u64::from(shards.max(1))) as Shard
 }
 
-// `FxHasher` mixes the high bits poorly for short input. This is the finalizer of SplitMix64.
+// `FxHasher` mixes the high bits poorly for short input. The finalizer of SplitMix64 spreads
+// them.
 fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
