--- a/crates/apricotwell_entry/src/daemon.rs
+++ b/crates/apricotwell_entry/src/daemon.rs
@@ -180,7 +180,7 @@
     interrupt: &mut Signal,
 ) {
     info!("draining: requests are accepted until lookup results have expired");
-    driver.update(|node, now| node.leave(now));
+    driver.update(|node, now| node.start_draining(now));
     let lifetime = Duration::from_millis(settings.shutdown.lookup_lifetime_ms);
     let limit = Duration::from_millis(settings.shutdown.drain_limit_ms);
     let drained = async {
--- a/crates/apricotwell_fakes/src/simulation/faults.rs
+++ b/crates/apricotwell_fakes/src/simulation/faults.rs
@@ -101,7 +101,7 @@
     /// Makes an instance drain and leave the fleet.
     pub fn drain(&mut self, name: &str) {
         let now = self.now;
-        self.with_node(name, |node| node.leave(now));
+        self.with_node(name, |node| node.start_draining(now));
     }
 
     /// Starts an engine, or restarts it with nothing loaded.
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -205,7 +205,7 @@
     }
 
     /// Starts to drain: hands over held shards and takes no new ones.
-    pub fn leave(&mut self, now: Instant) {
+    pub fn start_draining(&mut self, now: Instant) {
         if !self.fleet.is_draining() {
             let messages = self.fleet.leave(now, self.state.next());
             for (to, envelope) in messages {
