--- a/crates/apricotwell_control/src/publish.rs
+++ b/crates/apricotwell_control/src/publish.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishError {
     /// No instance could be queried.
-    FleetClient(String),
+    Fleet(String),
     /// The change was not appended to the log.
     NotPublished,
     /// It is unknown whether the change was appended to the log.
@@ -33,13 +33,14 @@
 impl fmt::Display for PublishError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PublishError::FleetClient(reason) => f.write_str(reason),
-            PublishError::NotPublished => {
-                f.write_str("the change was not appended to the log; publish it again when the log is available")
-            }
+            PublishError::Fleet(reason) => f.write_str(reason),
+            PublishError::NotPublished => f.write_str(
+                "the change was not appended to the log; publish it again when the log is \
+                     available",
+            ),
             PublishError::Unknown => f.write_str(
-                "the change may have been appended to the log; check with `get`, and publish it again \
-                 if it is missing",
+                "the change may have been appended to the log; check with `get`, and publish it \
+                 again if it is missing",
             ),
             PublishError::Rejected(reason) => write!(f, "the change was rejected: {reason}"),
             PublishError::NotEverywhere(missing) => write!(
@@ -89,7 +90,7 @@
     /// Fails when no instance responds.
     pub async fn config(&self, path: &str) -> Result<ConfigReply, PublishError> {
         let reply = self.fleet.query_any(&config_path(path)).await;
-        reply.map_err(PublishError::FleetClient)
+        reply.map_err(PublishError::Fleet)
     }
 
     /// Appends a change to version `expected` of a path and returns the change's offset and number.
@@ -143,11 +144,7 @@
         limit: Duration,
     ) -> Result<Duration, PublishError> {
         let started = Instant::now();
-        let mut missing = self
-            .fleet
-            .addresses()
-            .await
-            .map_err(PublishError::FleetClient)?;
+        let mut missing = self.fleet.addresses().await.map_err(PublishError::Fleet)?;
         while !missing.is_empty() {
             let mut still_missing = Vec::new();
             for address in missing {
--- a/crates/apricotwell_entry/examples/settings_reference.rs
+++ b/crates/apricotwell_entry/examples/settings_reference.rs
@@ -1,4 +1,4 @@
-//! Prints the reference of the settings, as it stands in docs/SETTINGS.md.
+//! Prints the reference of the settings, as it appears in docs/SETTINGS.md.
 
 fn main() {
     print!("{}", apricotwell_entry::settings_reference());
--- a/crates/apricotwell_entry/src/api/operators.rs
+++ b/crates/apricotwell_entry/src/api/operators.rs
@@ -16,7 +16,7 @@
     HttpResponse::Ok().body("ok\n")
 }
 
-/// Answers `GET /readyz`: whether the instance accepts requests.
+/// Answers `GET /readyz`: whether clients should be directed to this instance.
 pub(super) async fn ready(driver: Data<NodeDriver>) -> HttpResponse {
     let (ready, view) = driver.read(|node, now| (node.is_ready(now), node.view(now).name()));
     if ready {
--- a/crates/apricotwell_entry/src/metrics.rs
+++ b/crates/apricotwell_entry/src/metrics.rs
@@ -89,7 +89,7 @@
         );
         registry.register(
             "ready",
-            "1 if the instance accepts requests",
+            "1 if clients should be directed to this instance",
             metrics.ready.clone(),
         );
         registry.register_with_unit(
--- a/crates/apricotwell_entry/src/settings/reference_tests.rs
+++ b/crates/apricotwell_entry/src/settings/reference_tests.rs
@@ -11,6 +11,6 @@
     let reference = settings_reference();
     assert!(
         page.contains(&reference),
-        "docs/SETTINGS.md must hold:\n{reference}"
+        "docs/SETTINGS.md must contain:\n{reference}"
     );
 }
