--- a/crates/apricotwell_fakes/src/simulation.rs
+++ b/crates/apricotwell_fakes/src/simulation.rs
@@ -363,10 +363,10 @@
 
     /// Returns the instances that would act on a shard at the current time.
     pub fn holders(&self, shard: u32) -> Vec<String> {
-        let held = |host: &&Host| !host.paused && host.node.holds_shard(self.now, shard);
+        let holds = |host: &&Host| !host.paused && host.node.holds_shard(self.now, shard);
         let hosts = self.hosts.iter();
         hosts
-            .filter(|(_, host)| held(host))
+            .filter(|(_, host)| holds(host))
             .map(|(name, _)| name.clone())
             .collect()
     }
--- a/crates/apricotwell_fakes/src/simulation/events.rs
+++ b/crates/apricotwell_fakes/src/simulation/events.rs
@@ -85,7 +85,7 @@
                     node.on_attempt_ended(now, request, &attempt, outcome)
                 });
             }
-            ProcessEvent::List => self.list(name),
+            ProcessEvent::List => self.refresh_lists(name),
         }
     }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    fn list(&mut self, name: &str) {
+    fn refresh_lists(&mut self, name: &str) {
         let now = self.now;
         let contacts: Vec<Contact> = self.listed.iter().map(|id| contact(id)).collect();
         let engines = self.engines.iter().map(|(id, engine)| ListedServer {
--- a/crates/apricotwell_standins/src/engine.rs
+++ b/crates/apricotwell_standins/src/engine.rs
@@ -119,7 +119,7 @@
         App::new()
             .app_data(Data::new(engine.clone()))
             .app_data(web::PayloadConfig::new(16 << 20))
-            .route("/orders", web::post().to(order))
+            .route("/orders", web::post().to(handle_order))
             .route("/report", web::get().to(report))
             .route("/audit", web::get().to(audit))
             .route("/faults", web::post().to(set_faults))
@@ -135,9 +135,9 @@
         .await
 }
 
-async fn order(engine: Data<Engine>, order: Json<OrderBody>) -> HttpResponse {
+async fn handle_order(engine: Data<Engine>, order: Json<OrderBody>) -> HttpResponse {
     let result = match order_from(order.into_inner()) {
-        Some(order) if order.kind == OrderKind::Load => load(&engine, &order).await,
+        Some(order) if order.kind == OrderKind::Load => load_replica(&engine, &order).await,
         Some(order) => {
             let unloaded = engine.state().unload(&order);
             unloaded.map_err(|error| error.as_str())
@@ -151,7 +151,7 @@
         lost
     };
     if lost {
-        return HttpResponse::InternalServerError().body("the answer was lost");
+        return HttpResponse::InternalServerError().body("the reply was lost by an injected fault");
     }
     match result {
         Ok(()) => HttpResponse::Ok().json(OrderReply {
@@ -203,7 +203,7 @@
     most_requests: u32,
 }
 
-async fn load(engine: &Engine, order: &EngineOrder) -> Result<(), &'static str> {
+async fn load_replica(engine: &Engine, order: &EngineOrder) -> Result<(), &'static str> {
     let started = engine.state().begin_load(order);
     if started.map_err(|error| error.as_str())? {
         let adapter = order.model.contains(':');
@@ -277,13 +277,15 @@
     stream_options: Value,
 }
 
+// Completion that the engine generates for a request.
 struct Completion {
     chat: bool,
     model: String,
     tokens: u64,
-    prompt: u64,
-    usage: bool,
-    breaks: bool,
+    prompt_tokens: u64,
+    include_usage: bool,
+    // Whether the stream breaks after two tokens.
+    break_stream: bool,
 }
 
 async fn complete(engine: Data<Engine>, request: HttpRequest, body: Bytes) -> HttpResponse {
@@ -294,16 +296,16 @@
         std::process::abort();
     }
     let Ok(parsed) = serde_json::from_slice::<CompletionBody>(&body) else {
-        return HttpResponse::BadRequest().json(json!({"error": {"message": "bad JSON"}}));
+        return HttpResponse::BadRequest().json(json!({"error": {"message": "invalid JSON"}}));
     };
     if engine.faults().leaving {
-        return not_run(503, "leaving");
+        return not_run_response(503, "leaving");
     }
     let replica = header(request.headers(), "x-apricotwell-replica");
     let replica = replica.and_then(|text| text.parse().ok());
     let found = engine.state().find_replica(replica, &parsed.model);
     let Some(replica) = found else {
-        return not_run(404, "the replica is not loaded");
+        return not_run_response(404, "the replica is not loaded");
     };
     engine.state().begin_request(replica);
     let guard = RequestGuard {
@@ -314,8 +316,8 @@
     if hangs {
         sleep(Duration::from_secs(3600)).await;
     }
-    let breaks = consume_fault(&mut engine.faults().break_streams);
-    let completion = plan_completion(&parsed, request.path(), breaks);
+    let break_stream = consume_fault(&mut engine.faults().break_streams);
+    let completion = plan_completion(&parsed, request.path(), break_stream);
     let mut attempt = header(request.headers(), "x-attempt-id").unwrap_or_default();
     if consume_fault(&mut engine.faults().wrong_attempts) {
         attempt.push_str(" of another");
@@ -330,7 +332,7 @@
     }
 }
 
-fn plan_completion(body: &CompletionBody, path: &str, breaks: bool) -> Completion {
+fn plan_completion(body: &CompletionBody, path: &str, break_stream: bool) -> Completion {
     let prompt = if body.messages.is_null() {
         body.prompt.to_string()
     } else {
@@ -341,12 +343,13 @@
         chat: path.contains("chat"),
         model: body.model.clone(),
         tokens: limit.unwrap_or(16).min(4096),
-        prompt: (prompt.len() as u64).div_ceil(4),
-        usage: body.stream_options["include_usage"] == true,
-        breaks,
+        prompt_tokens: (prompt.len() as u64).div_ceil(4),
+        include_usage: body.stream_options["include_usage"] == true,
+        break_stream,
     }
 }
 
+// Returns whether a fault applies to the current request, and decrements its count.
 fn consume_fault(count: &mut u32) -> bool {
     let any = *count > 0;
     *count = count.saturating_sub(1);
@@ -373,7 +376,7 @@
     Some(value.to_owned())
 }
 
-fn not_run(status: u16, reason: &str) -> HttpResponse {
+fn not_run_response(status: u16, reason: &str) -> HttpResponse {
     let status = actix_web::http::StatusCode::from_u16(status)
         .unwrap_or(actix_web::http::StatusCode::SERVICE_UNAVAILABLE);
     HttpResponse::build(status)
@@ -382,7 +385,7 @@
 }
 
 fn send_completion(guard: RequestGuard, completion: &Completion, attempt: &str) -> HttpResponse {
-    let text: String = (0..completion.tokens).map(word).collect();
+    let text: String = (0..completion.tokens).map(token_text).collect();
     let choice = if completion.chat {
         json!({"index": 0, "finish_reason": "stop",
                "message": {"role": "assistant", "content": text}})
@@ -390,7 +393,7 @@
         json!({"index": 0, "finish_reason": "stop", "text": text})
     };
     let body = json!({
-        "id": "cmpl-1", "object": object(completion), "created": 0, "model": completion.model,
+        "id": "cmpl-1", "object": object_type(completion), "created": 0, "model": completion.model,
         "choices": [choice], "usage": usage(completion), "x_engine_field": [1, 2.5, null],
     });
     drop(guard);
@@ -407,9 +410,12 @@
             if step > completion.tokens + 2 {
                 return None;
             }
-            if completion.breaks && step == 2 {
+            if completion.break_stream && step == 2 {
                 return Some((
-                    Err(io::Error::other("broken on demand")),
+                    Err(io::Error::other(
+                        "the stream was broken by an injected fault",
+                    )),
+                    // A step past the last one, so that the stream ends after the error.
                     (u64::MAX - 9, guard, completion),
                 ));
             }
@@ -431,10 +437,10 @@
 fn stream_event(step: u64, completion: &Completion) -> String {
     let finish = step == completion.tokens;
     if step == completion.tokens + 1 {
-        if !completion.usage {
+        if !completion.include_usage {
             return ": no usage asked for\n\n".to_owned();
         }
-        let body = json!({"id": "cmpl-1", "object": object(completion), "created": 0,
+        let body = json!({"id": "cmpl-1", "object": object_type(completion), "created": 0,
             "model": completion.model, "choices": [], "usage": usage(completion)});
         return format!("data: {body}\n\n");
     }
@@ -442,7 +448,11 @@
         return "data: [DONE]\n\n".to_owned();
     }
     let reason = if finish { json!("stop") } else { Value::Null };
-    let text = if finish { String::new() } else { word(step) };
+    let text = if finish {
+        String::new()
+    } else {
+        token_text(step)
+    };
     let choice = if completion.chat {
         json!({"index": 0, "finish_reason": reason, "delta": {"content": text}})
     } else {
@@ -458,7 +468,7 @@
     format!("data: {body}\n\n")
 }
 
-fn object(completion: &Completion) -> &'static str {
+fn object_type(completion: &Completion) -> &'static str {
     if completion.chat {
         "chat.completion"
     } else {
@@ -467,10 +477,10 @@
 }
 
 fn usage(completion: &Completion) -> Value {
-    json!({"prompt_tokens": completion.prompt, "completion_tokens": completion.tokens,
-           "total_tokens": completion.prompt + completion.tokens})
+    json!({"prompt_tokens": completion.prompt_tokens, "completion_tokens": completion.tokens,
+           "total_tokens": completion.prompt_tokens + completion.tokens})
 }
 
-fn word(step: u64) -> String {
+fn token_text(step: u64) -> String {
     format!("w{step} ")
 }
--- a/crates/apricotwell_standins/src/platform.rs
+++ b/crates/apricotwell_standins/src/platform.rs
@@ -154,7 +154,7 @@
     };
     platform.appended.notify_waiters();
     if lost {
-        return HttpResponse::InternalServerError().body("the answer was lost");
+        return HttpResponse::InternalServerError().body("the reply was lost by an injected fault");
     }
     HttpResponse::Ok().json(AppendReply { first })
 }
--- a/crates/apricotwell_standins/src/service.rs
+++ b/crates/apricotwell_standins/src/service.rs
@@ -123,8 +123,11 @@
     };
     sleep(Duration::from_millis(duration_ms)).await;
     if lost {
-        let broken_stream =
-            stream::once(async { Err::<Bytes, _>(io::Error::other("lost on demand")) });
+        let broken_stream = stream::once(async {
+            Err::<Bytes, _>(io::Error::other(
+                "the response was lost by an injected fault",
+            ))
+        });
         return HttpResponse::Ok().no_chunking(64).streaming(broken_stream);
     }
     let attempt = request.headers().get("x-attempt-id");
