--- a/crates/apricotwell_fakes/src/engine.rs
+++ b/crates/apricotwell_fakes/src/engine.rs
@@ -168,8 +168,9 @@
         Ok(())
     }
 
-    /// Returns the replica on which a request runs: the given one or, without one, the first
-    /// replica of the model. Returns `None` if there is no such replica or it isn't loaded.
+    /// Returns the replica on which a request runs: the given one or, without one, the first loaded
+    /// replica of the model. Returns `None` if the given replica isn't loaded or the model has no
+    /// loaded replica.
     pub fn find_replica(&self, replica: Option<u64>, model: &str) -> Option<u64> {
         let matches = |(id, candidate): &(&u64, &Replica)| {
             candidate.loaded
--- a/crates/apricotwell_fakes/src/simulation.rs
+++ b/crates/apricotwell_fakes/src/simulation.rs
@@ -350,7 +350,7 @@
         &self.engines[name].state
     }
 
-    /// Returns whether every shard is held by exactly one running instance.
+    /// Returns whether every shard is held by exactly one running instance that may act on it.
     pub fn is_settled(&self) -> bool {
         let all = 0..self.options.shards;
         all.into_iter().all(|shard| self.holders(shard).len() == 1)
@@ -361,7 +361,8 @@
         shard_of(org, self.options.shards)
     }
 
-    /// Returns the instances that would act on a shard at the current time.
+    /// Returns the instances that would act on a shard at the current time. Paused instances don't
+    /// count.
     pub fn holders(&self, shard: u32) -> Vec<String> {
         let holds = |host: &&Host| !host.paused && host.node.holds_shard(self.now, shard);
         let hosts = self.hosts.iter();
--- a/crates/apricotwell_local/src/raw_http.rs
+++ b/crates/apricotwell_local/src/raw_http.rs
@@ -16,7 +16,8 @@
     pub head: String,
     /// Body as received, including chunk sizes.
     pub body: String,
-    /// Whether the connection failed or was closed before the end of the response.
+    /// Whether reading failed or timed out, or the connection was closed before the end of a
+    /// chunked body.
     pub truncated: bool,
 }
 
--- a/crates/apricotwell_node/src/node.rs
+++ b/crates/apricotwell_node/src/node.rs
@@ -143,7 +143,8 @@
         self.fleet.view(now)
     }
 
-    /// Returns whether this instance accepts requests from clients.
+    /// Returns whether this instance is ready for new clients: it can check API keys and isn't
+    /// draining. A draining instance still accepts requests.
     pub fn is_ready(&self, now: Instant) -> bool {
         !self.fleet.is_draining() && self.can_check_keys(now)
     }
--- a/crates/apricotwell_standins/src/engine.rs
+++ b/crates/apricotwell_standins/src/engine.rs
@@ -53,7 +53,7 @@
     lose_order_replies: Option<u32>,
     /// Whether the engine reports that it is leaving and refuses new requests.
     leaving: Option<bool>,
-    /// Number of upcoming streams that break after two tokens.
+    /// Number of upcoming requests whose response, if streamed, breaks after two tokens.
     break_streams: Option<u32>,
     /// Number of upcoming requests that hang for an hour.
     #[serde(rename = "silent")]
