--- a/crates/apricotwell_entry/src/daemon.rs
+++ b/crates/apricotwell_entry/src/daemon.rs
@@ -22,7 +22,7 @@
 
 use crate::relay::HttpClients;
 use crate::streams;
-use crate::{NodeDriver, Settings, api, tasks};
+use crate::{NodeDriver, Settings, api, control};
 
 /// Time for sending the responses of aborted requests at a forced shutdown.
 const ABORT_GRACE: Duration = Duration::from_millis(1500);
@@ -115,16 +115,16 @@
     let peer_driver = driver.clone();
     let deliver = move |envelope| peer_driver.update(|node, now| node.on_message(now, envelope));
     spawn_local(listen(peers, secret, deliver));
-    spawn_local(tasks::poll_instances(driver.clone(), instances));
-    spawn_local(tasks::follow_log(driver.clone(), log.clone()));
-    spawn_local(tasks::execute_actions(
+    spawn_local(control::poll_instances(driver.clone(), instances));
+    spawn_local(control::follow_log(driver.clone(), log.clone()));
+    spawn_local(control::execute_actions(
         driver.clone(),
         actions,
         links,
         log,
         engine,
     ));
-    spawn_local(tasks::tick(driver.clone()));
+    spawn_local(control::tick(driver.clone()));
 }
 
 fn start_server(
--- a/crates/apricotwell_entry/src/lib.rs
+++ b/crates/apricotwell_entry/src/lib.rs
@@ -13,6 +13,7 @@
 //! ```
 
 mod api;
+mod control;
 mod daemon;
 mod driver;
 mod metrics;
@@ -21,7 +22,6 @@
 mod responses;
 mod settings;
 mod streams;
-mod tasks;
 
 pub use daemon::{DaemonError, run_daemon};
 pub use driver::NodeDriver;
